--- a/src/serving/endpoints.ts
+++ b/src/serving/endpoints.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry daemon knows of each endpoint, from its connections to endpoint daemons and from its
- * own requests.
+ * Keeps what an entry daemon knows of each endpoint: what its connections to endpoint daemons report, and the outcomes
+ * of its own requests.
  * @module
  */
 import * as ring from "../contract/ring.js";
@@ -18,109 +18,131 @@
 import * as peak from "./peak.js";
 import type * as search from "./search.js";
 
-/** Weight of the latest request in what is remembered of an endpoint. */
-const LATEST = 0.12;
-/** Milliseconds after which half of the remembered failures are forgotten, so that it is tried again. */
-const FORGET_MS = 3000;
+/** Weight of the latest request in an endpoint's average latency; it weighs twice as much in the failure rate. */
+const LATEST_WEIGHT = 0.12;
+/** Half-life of an endpoint's failure rate, in milliseconds; it decays so that the endpoint is tried again. */
+const FAILURE_HALF_LIFE_MS = 3000;
 
-interface Own {
-  readonly under: number;
-  readonly failing: number;
+/** What this daemon's own requests tell of an endpoint. */
+interface LocalStats {
+  readonly inFlight: number;
+  /** Moving average of the failures, 0 to 1, at the time `failedAt`. */
+  readonly failureRate: number;
+  /** Monotonic ms at which the failure rate was last updated. */
   readonly failedAt: number;
-  readonly tookMs: number;
+  /** Moving average of the latencies; 0 before the first. */
+  readonly latencyMs: number;
 }
 
-/** Part of the latest requests that failed, as far as it is not forgotten by now. */
-function failingNow(own: Own, now: number): number {
-  return own.failing * 2 ** (-(now - own.failedAt) / FORGET_MS);
+/** The failure rate, decayed to the time `now`. */
+function failureRateNow(stats: LocalStats, now: number): number {
+  return stats.failureRate * 2 ** (-(now - stats.failedAt) / FAILURE_HALF_LIFE_MS);
 }
 
-const NEW: Own = { under: 0, failing: 0, failedAt: 0, tookMs: 0 };
+const NO_STATS: LocalStats = { inFlight: 0, failureRate: 0, failedAt: 0, latencyMs: 0 };
 
 /**
- * Connections to endpoint daemons that nobody waits for, made at once, and the milliseconds until the next
- * ones. Each takes some 2 ms of processor time in a daemon that has just started, which on a quarter of a
- * core is better spent on the requests that are there; 55 are made within 0.6 s.
+ * Number of connections to endpoint daemons that are opened at a time where no request needs them, and the
+ * milliseconds between two such batches. Each connection takes about 2 ms of processor time in a daemon that has just
+ * started, which on a quarter of a core is better spent on the requests at hand; 55 connections take 0.6 s.
  */
-const LINKS_AT_ONCE = 2;
-const LINKS_PAUSE_MS = 20;
+const LINK_BATCH = 2;
+const LINK_BATCH_INTERVAL_MS = 20;
 /**
- * Endpoint daemons that are told of a request that ends workers; each tells all entry daemons. With three, all hear of
- * it though one is the daemon of a host that is lost and another has just started.
+ * Number of endpoint daemons to which a message about a request that crashes workers is sent; each relays it to all
+ * entry daemons. With three, it reaches them all even if one of the three is on a lost host and another has just
+ * started.
  */
-const RELAYS = 3;
+const RELAY_TARGETS = 3;
 /**
- * Milliseconds for which a count of entry daemons is remembered: longer than hosts are cut off from one another by most
- * failures, and than a window of what they share.
+ * Milliseconds for which a count of entry daemons is remembered. This is longer than most network partitions, and than
+ * the windows of the limits that entry daemons share.
  */
 export const HOSTS_MS = 60_000;
-/** Rings kept: those of a few services, and of a fleet before and after an engine came or went. */
-const RINGS = 8;
+/** Maximum number of cached rings: those of a few services, each before and after an engine joined or left. */
+const MAX_RINGS = 8;
 
-interface Keepers {
+/** The keepers found so far for the endpoints `of` and the configuration `config`. */
+interface KeeperCache {
   readonly of: catalog.Catalog["endpoints"];
   readonly config: catalog.Config | undefined;
   readonly at: fleet.Arrangement;
-  /** Addresses of endpoint daemons, the first one first. */
+  /** Addresses of endpoint daemons by key, the preferred keeper first. */
   readonly byKey: Map<string, readonly string[]>;
 }
 
-/** When one of several endpoints takes requests again, and what it said. */
+/** When the first of several endpoints accepts requests again, and whether a limit or a pause prevents it before. */
 export interface Opening {
   readonly inMs: number;
   readonly reason: meters.Reason;
 }
 
-const NOWHERE: fleet.Arrangement = { ring: ring.build([]), at: new Map() };
+const EMPTY_LAYOUT: fleet.Arrangement = { ring: ring.build([]), at: new Map() };
 
-export interface Deps extends Omit<link.Deps, "lost" | "holds" | "came" | "counted"> {
+/** What the registry needs of the entry daemon. */
+export interface Deps extends Omit<
+  link.Deps,
+  "onEngineLost" | "onAdaptersChanged" | "onAvailable" | "onEntryCount"
+> {
   readonly catalog: () => catalog.Catalog;
   /** `ip:port` of the endpoint daemon beside an endpoint. */
   readonly daemonOf: (e: catalog.Endpoint) => string;
-  /** Milliseconds until the limit that an endpoint names lets one more request in. */
+  /** Milliseconds until the limit that an endpoint announced admits one more request. */
   readonly limitedMs: (id: string) => number;
-  /** Milliseconds until an endpoint takes a request of this host, its limit apart; Infinity where it leaves. */
+  /**
+   * Milliseconds until an endpoint accepts a request of this host, regardless of its limit; Infinity where it is
+   * leaving.
+   */
   readonly opensInMs: (e: catalog.Endpoint) => number;
-  /** From 0 up to 1. */
+  /** Returns a random number, 0 or more and less than 1. */
   readonly random: () => number;
 }
 
+/** The endpoints that an entry daemon knows, with its connections to the endpoint daemons beside engines. */
 export class Endpoints {
   private readonly links = new Map<string, link.Link>();
-  private readonly own = new Map<string, Own>();
-  private readonly watchers = new Map<string, Set<() => void>>();
+  private readonly stats = new Map<string, LocalStats>();
+  private readonly lossWatchers = new Map<string, Set<() => void>>();
   private readonly holders = new holders.Holders();
-  private readonly arranged = new WeakMap<readonly catalog.Endpoint[], fleet.Arrangement>();
+  private readonly layouts = new WeakMap<readonly catalog.Endpoint[], fleet.Arrangement>();
   private rings: readonly ring.Ring[] = [];
-  private readonly waiting = new Set<() => void>();
-  /** Which endpoint daemons keep what, for the endpoints and the configuration that it was worked out for. */
-  private kept: Keepers = { of: new Map(), config: undefined, at: NOWHERE, byKey: new Map() };
-  /** Engines without a connection yet, by the address of their endpoint daemon. */
+  private readonly availabilityWatchers = new Set<() => void>();
+  /** Cached keepers; replaced when the endpoints or the configuration change. */
+  private keeperCache: KeeperCache = {
+    of: new Map(),
+    config: undefined,
+    at: EMPTY_LAYOUT,
+    byKey: new Map(),
+  };
+  /** Engines that have no connection yet, by the address of their endpoint daemon. */
   private unlinked = new Map<string, catalog.Endpoint>();
-  private linking: clock.Timer | undefined;
-  /** Entry daemons there are, as endpoint daemons count them. */
-  private counts: peak.Peak | undefined;
+  private linkTimer: clock.Timer | undefined;
+  /** Highest numbers of entry daemons that endpoint daemons reported. */
+  private entryCounts: peak.Peak | undefined;
 
   constructor(
     private readonly deps: Deps,
     private readonly clk: clock.Clock,
   ) {}
 
-  /** The endpoints of a service, as known now. */
+  /** Views of all endpoints of a service. */
   views(service: catalog.Service): readonly choice.View[] {
     const list = catalog.endpointsOf(this.deps.catalog(), service);
     return list.map((e) => this.view(service, e, 0));
   }
 
-  /** The engines of a service, for a search among them. */
+  /** Views of the engines of a service, created as a search needs them. */
   fleet(service: catalog.Service): search.Fleet {
-    const arranged = this.arrange(catalog.endpointsOf(this.deps.catalog(), service));
+    const layout = this.layoutOf(catalog.endpointsOf(this.deps.catalog(), service));
     const viewOf = (e: catalog.Endpoint, place: number): choice.View =>
       this.view(service, e, place);
-    return fleet.of(arranged, this.holders, viewOf, this.deps.random);
+    return fleet.of(layout, this.holders, viewOf, this.deps.random);
   }
 
-  /** When an endpoint of a service takes one more request, by what they say; undefined where one does or nobody knows. */
+  /**
+   * When the first endpoint of a service accepts one more request, by what the endpoints announced. Undefined where one
+   * accepts requests now, or where all are leaving or there is none.
+   */
   opens(service: catalog.Service): Opening | undefined {
     const list = catalog.endpointsOf(this.deps.catalog(), service).map((e): Opening => {
       const [opensInMs, limitedMs] = [this.deps.opensInMs(e), this.deps.limitedMs(e.id)];
@@ -128,14 +150,14 @@
         ? { inMs: limitedMs, reason: "limit" }
         : { inMs: opensInMs, reason: "pause" };
     });
-    const first = list.reduce<Opening | undefined>(
-      (least, o) => (least && least.inMs <= o.inMs ? least : o),
+    const earliest = list.reduce<Opening | undefined>(
+      (min, o) => (min && min.inMs <= o.inMs ? min : o),
       undefined,
     );
-    return first && first.inMs > 0 && Number.isFinite(first.inMs) ? first : undefined;
+    return earliest && earliest.inMs > 0 && Number.isFinite(earliest.inMs) ? earliest : undefined;
   }
 
-  /** Whether an engine of a service is on its way. */
+  /** Whether an engine of a service is starting and not leaving. */
   coming(service: catalog.Service): boolean {
     if (!service.engine) return false;
     const list = catalog.endpointsOf(this.deps.catalog(), service);
@@ -146,80 +168,81 @@
     );
   }
 
-  /** Calls `tell` once an endpoint may be of use that was not; returns what takes that back. */
-  whenSomeCome(tell: () => void): () => void {
-    this.waiting.add(tell);
-    return () => this.waiting.delete(tell);
+  /** Calls `callback` whenever an endpoint may have become usable; returns a function that unsubscribes. */
+  whenSomeCome(callback: () => void): () => void {
+    this.availabilityWatchers.add(callback);
+    return () => this.availabilityWatchers.delete(callback);
   }
 
-  private came(): void {
-    for (const tell of this.waiting) tell();
+  private notifyAvailable(): void {
+    for (const callback of this.availabilityWatchers) callback();
   }
 
-  private arrange(list: readonly catalog.Endpoint[]): fleet.Arrangement {
-    const known = this.arranged.get(list);
-    if (known) return known;
-    const made = fleet.arrange(list, this.deps.daemonOf, this.rings);
-    this.arranged.set(list, made);
-    const others = this.rings.filter((r) => r !== made.ring);
-    this.rings = [made.ring, ...others.slice(0, RINGS - 1)];
-    return made;
+  private layoutOf(list: readonly catalog.Endpoint[]): fleet.Arrangement {
+    const cached = this.layouts.get(list);
+    if (cached) return cached;
+    const layout = fleet.arrange(list, this.deps.daemonOf, this.rings);
+    this.layouts.set(list, layout);
+    const others = this.rings.filter((r) => r !== layout.ring);
+    this.rings = [layout.ring, ...others.slice(0, MAX_RINGS - 1)];
+    return layout;
   }
 
   private view(service: catalog.Service, endpoint: catalog.Endpoint, place: number): choice.View {
-    const at = service.engine && this.link(endpoint);
-    const own = this.own.get(endpoint.id) ?? NEW;
+    const conn = service.engine && this.link(endpoint);
+    const stats = this.stats.get(endpoint.id) ?? NO_STATS;
     const opensInMs = this.deps.opensInMs(endpoint);
-    const isThere = at?.state && incarnation.isSame(at.state.instance, endpoint.id);
-    const state = isThere ? at.state : undefined;
-    const gone = at?.state !== undefined && state === undefined;
+    const isThisStart = conn?.state && incarnation.isSame(conn.state.instance, endpoint.id);
+    const state = isThisStart ? conn.state : undefined;
+    const isOtherStart = conn?.state !== undefined && state === undefined;
     return {
       endpoint,
-      state: gone ? { ...at.state, instance: "" } : state,
-      holdings: at?.holdings,
-      own: own.under,
-      ownTokens: at?.tokensSince ?? 0,
-      ownSlots: at?.slotsSince ?? 0,
-      failing: failingNow(own, this.clk.mono()),
-      tookMs: own.tookMs,
-      coming: opensInMs < Infinity && (at?.coming ?? false),
+      state: isOtherStart ? { ...conn.state, instance: "" } : state,
+      holdings: conn?.holdings,
+      own: stats.inFlight,
+      ownTokens: conn?.tokensSince ?? 0,
+      ownSlots: conn?.slotsSince ?? 0,
+      failing: failureRateNow(stats, this.clk.mono()),
+      tookMs: stats.latencyMs,
+      coming: opensInMs < Infinity && (conn?.coming ?? false),
       place,
-      ageMs: at?.ageMs ?? 0,
+      ageMs: conn?.ageMs ?? 0,
       limitedMs: this.deps.limitedMs(endpoint.id),
       opensInMs,
     };
   }
 
-  /** The connection to the endpoint daemon beside an endpoint. */
+  /** The connection to the endpoint daemon beside an endpoint, opened where there is none yet. */
   link(e: catalog.Endpoint): link.Link {
     const address = this.deps.daemonOf(e);
-    let at = this.links.get(address);
-    if (!at) {
-      at = new link.Link(address, {
+    let conn = this.links.get(address);
+    if (!conn) {
+      conn = new link.Link(address, {
         ...this.deps,
-        lost: (instance) => {
+        onEngineLost: (instance) => {
           this.deps.log.warn("An engine is gone.", { endpoint: instance });
-          for (const tell of this.watchers.get(incarnation.workerOf(instance)) ?? []) tell();
+          for (const callback of this.lossWatchers.get(incarnation.workerOf(instance)) ?? [])
+            callback();
         },
-        holds: (before, now) => {
+        onAdaptersChanged: (before, now) => {
           this.holders.changed(address, before, now);
         },
-        came: () => {
-          this.came();
+        onAvailable: () => {
+          this.notifyAvailable();
         },
-        counted: (entries) => {
-          this.counts = peak.read(this.counts, entries, this.clk.steady(), HOSTS_MS);
+        onEntryCount: (entries) => {
+          this.entryCounts = peak.read(this.entryCounts, entries, this.clk.steady(), HOSTS_MS);
         },
       });
-      this.links.set(address, at);
+      this.links.set(address, conn);
       this.unlinked.delete(address);
     }
-    return at;
+    return conn;
   }
 
   /**
-   * Connects to the engines there are, a few at a time unless a request needs one, and drops what belongs
-   * to none any more.
+   * Connects to the engines of the catalog, a few at a time unless a request needs one, and drops the connections and
+   * statistics of endpoints that the catalog no longer has.
    */
   refresh(): void {
     const { config, endpoints } = this.deps.catalog();
@@ -231,116 +254,125 @@
         wanted.set(this.deps.daemonOf(e), e);
       }
     }
-    for (const [address, at] of this.links) {
+    for (const [address, conn] of this.links) {
       if (wanted.has(address)) continue;
-      at.close();
-      this.holders.changed(address, at.hand, new Set());
+      conn.close();
+      this.holders.changed(address, conn.hand, new Set());
       this.links.delete(address);
     }
-    this.unlinked = new Map(this.rotated([...wanted].filter(([at]) => !this.links.has(at))));
-    this.linkSome();
-    const there = new Set([...endpoints.values()].map((e) => e.id));
-    for (const id of this.own.keys()) if (!there.has(id)) this.own.delete(id);
-    this.came();
+    this.unlinked = new Map(
+      this.rotatedAtRandom([...wanted].filter(([address]) => !this.links.has(address))),
+    );
+    this.linkNextBatch();
+    const present = new Set([...endpoints.values()].map((e) => e.id));
+    for (const id of this.stats.keys()) if (!present.has(id)) this.stats.delete(id);
+    this.notifyAvailable();
   }
 
-  private linkSome(): void {
-    if (this.linking || this.unlinked.size === 0) return;
-    for (const e of [...this.unlinked.values()].slice(0, LINKS_AT_ONCE)) this.link(e);
-    this.linking = this.clk.after(LINKS_PAUSE_MS, () => {
-      this.linking = undefined;
-      this.linkSome();
+  private linkNextBatch(): void {
+    if (this.linkTimer || this.unlinked.size === 0) return;
+    for (const e of [...this.unlinked.values()].slice(0, LINK_BATCH)) this.link(e);
+    this.linkTimer = this.clk.after(LINK_BATCH_INTERVAL_MS, () => {
+      this.linkTimer = undefined;
+      this.linkNextBatch();
     });
   }
 
-  /** A list from a place drawn at random on, so that not all hosts connect to the same engine first. */
-  private rotated<T>(list: readonly T[]): readonly T[] {
-    const from = Math.floor(this.deps.random() * list.length);
-    return [...list.slice(from), ...list.slice(0, from)];
+  /** Rotates a list by a random offset, so that not all hosts connect to the same engine first. */
+  private rotatedAtRandom<T>(list: readonly T[]): readonly T[] {
+    const offset = Math.floor(this.deps.random() * list.length);
+    return [...list.slice(offset), ...list.slice(0, offset)];
   }
 
   /**
-   * The most entry daemons that an endpoint daemon counted in the last {@link HOSTS_MS}, or before none was reached;
-   * undefined until one has told.
+   * The highest number of entry daemons that an endpoint daemon reported in the last {@link HOST_COUNT_WINDOW_MS}.
+   * While no endpoint daemon is connected, the last result stays; undefined until one has reported a number.
    */
   mostHosts(): number | undefined {
-    return this.counts && peak.highest(this.counts);
+    return this.entryCounts && peak.highest(this.entryCounts);
   }
 
   /**
-   * Connections to up to `n` endpoint daemons that keep what belongs to `key`, the first one first: the same on all
-   * hosts that know the same engines.
+   * Connections to up to `n` endpoint daemons that keep the shared state of `key`, the preferred one first. All hosts
+   * that know the same engines get the same list.
    */
   keepers(key: string, n: number): readonly link.Link[] {
     const { config, endpoints } = this.deps.catalog();
-    const engines = [...(config?.services.values() ?? [])].filter((s) => s.engine);
-    if (this.kept.of !== endpoints || this.kept.config !== config) {
-      const list = engines.flatMap((s) => catalog.endpointsOf(this.deps.catalog(), s));
-      this.kept = { of: endpoints, config, at: this.arrange(list), byKey: new Map() };
+    const services = [...(config?.services.values() ?? [])].filter((s) => s.engine);
+    if (this.keeperCache.of !== endpoints || this.keeperCache.config !== config) {
+      const list = services.flatMap((s) => catalog.endpointsOf(this.deps.catalog(), s));
+      this.keeperCache = { of: endpoints, config, at: this.layoutOf(list), byKey: new Map() };
     }
-    const { at, byKey } = this.kept;
-    const known = byKey.get(key) ?? ring.successors(at.ring, key, n, n).map((p) => p.name);
-    byKey.set(key, known);
-    return known.flatMap((address) => {
+    const { at, byKey } = this.keeperCache;
+    const daemons = byKey.get(key) ?? ring.successors(at.ring, key, n, n).map((p) => p.name);
+    byKey.set(key, daemons);
+    return daemons.flatMap((address) => {
       const [e] = at.at.get(address) ?? [];
       return e ? [this.link(e)] : [];
     });
   }
 
   /**
-   * Connections to the endpoint daemons that tell all hosts of a worker's limit: those that may keep it, and the one
-   * beside the worker, which each host asks before it sends there.
+   * Connections to the endpoint daemons that announce a worker's limit to all hosts: those that may keep it, and the
+   * one beside the worker, from which each host requests a seat before it sends there.
    */
   tellers(id: string): readonly link.Link[] {
     const keepers = this.keepers(limiter.placeKey(limiter.workerKey(id)), limiter.PLACES);
     const e = this.deps.catalog().endpoints.get(incarnation.workerOf(id));
-    const beside = e && this.links.get(this.deps.daemonOf(e));
-    return [...new Set([...keepers, ...(beside ? [beside] : [])])];
+    const besideWorker = e && this.links.get(this.deps.daemonOf(e));
+    return [...new Set([...keepers, ...(besideWorker ? [besideWorker] : [])])];
   }
 
-  /** Tells some endpoint daemons that are reached, the same ones for a key. */
+  /** Sends a message to a few of the connected endpoint daemons, for the same key to the same ones. */
   relay(key: string, m: hearsay.Message): void {
-    const reached = [...this.links.values()].filter((l) => l.isReached);
-    const ranked = reached.map((l) => ({ l, rank: hash.of32(`${key} ${l.address}`) }));
-    ranked.sort((a, b) => a.rank - b.rank);
-    for (const { l } of ranked.slice(0, RELAYS)) l.send(m);
+    const connected = [...this.links.values()].filter((l) => l.isReached);
+    const ordered = connected.map((l) => ({ l, score: hash.of32(`${key} ${l.address}`) }));
+    ordered.sort((a, b) => a.score - b.score);
+    for (const { l } of ordered.slice(0, RELAY_TARGETS)) l.send(m);
   }
 
-  /** Calls `tell` if the engine `id` goes while it is watched; returns what ends the watch. */
-  watch(id: string, tell: () => void): () => void {
+  /** Calls `callback` if the engine `id` is lost while it is watched; returns a function that ends the watch. */
+  watch(id: string, callback: () => void): () => void {
     const worker = incarnation.workerOf(id);
-    const at = this.watchers.get(worker) ?? new Set();
-    this.watchers.set(worker, at);
-    at.add(tell);
+    const callbacks = this.lossWatchers.get(worker) ?? new Set();
+    this.lossWatchers.set(worker, callbacks);
+    callbacks.add(callback);
     return () => {
-      at.delete(tell);
-      if (at.size === 0) this.watchers.delete(worker);
+      callbacks.delete(callback);
+      if (callbacks.size === 0) this.lossWatchers.delete(worker);
     };
   }
 
+  /** Records that a request was sent to an endpoint. */
   sent(id: string): void {
-    const own = this.own.get(id) ?? NEW;
-    this.own.set(id, { ...own, under: own.under + 1 });
+    const stats = this.stats.get(id) ?? NO_STATS;
+    this.stats.set(id, { ...stats, inFlight: stats.inFlight + 1 });
   }
 
-  /** A request is over; `good` is undefined when it tells nothing about the endpoint. */
+  /** Records that a request has ended; `good` is undefined when it tells nothing about the endpoint. */
   done(id: string, good: boolean | undefined, tookMs: number | undefined): void {
-    const own = this.own.get(id) ?? NEW;
+    const stats = this.stats.get(id) ?? NO_STATS;
     const now = this.clk.mono();
-    const faded = failingNow(own, now);
-    const failing =
-      good === undefined ? own.failing : faded + ((good ? 0 : 1) - faded) * (LATEST * 2);
-    const took = tookMs ?? own.tookMs;
-    this.own.set(id, {
-      under: Math.max(0, own.under - 1),
-      failing,
-      failedAt: good === undefined ? own.failedAt : now,
-      tookMs: own.tookMs === 0 ? took : own.tookMs + (took - own.tookMs) * LATEST,
+    const decayed = failureRateNow(stats, now);
+    const failureRate =
+      good === undefined
+        ? stats.failureRate
+        : decayed + ((good ? 0 : 1) - decayed) * (LATEST_WEIGHT * 2);
+    const latencyMs = tookMs ?? stats.latencyMs;
+    this.stats.set(id, {
+      inFlight: Math.max(0, stats.inFlight - 1),
+      failureRate,
+      failedAt: good === undefined ? stats.failedAt : now,
+      latencyMs:
+        stats.latencyMs === 0
+          ? latencyMs
+          : stats.latencyMs + (latencyMs - stats.latencyMs) * LATEST_WEIGHT,
     });
   }
 
+  /** Closes all connections. */
   close(): void {
-    this.linking?.cancel();
+    this.linkTimer?.cancel();
     this.unlinked.clear();
     for (const l of this.links.values()) l.close();
   }
--- a/src/serving/link.ts
+++ b/src/serving/link.ts
@@ -1,5 +1,5 @@
 /**
- * An entry daemon's connection to one endpoint daemon: asks for seats, and hears the engine's state.
+ * An entry daemon's connection to one endpoint daemon: requests seats, and receives the engine's state.
  * @module
  */
 import * as net from "node:net";
@@ -17,198 +17,214 @@
 import * as seat from "./seat.js";
 import * as warmth from "./warmth.js";
 
-/** Milliseconds to connect; the other side of a failure domain answers within a few. */
-const CONNECT_MS = 600;
-/** Milliseconds until the next try, at first and at most. */
-const RETRY_MS = 100;
-const RETRY_MAX_MS = 800;
+/** Timeout for connecting, in milliseconds; even a host in another failure domain answers within a few. */
+const CONNECT_TIMEOUT_MS = 600;
+/** Backoff between attempts to connect, in milliseconds: the first delay and the longest one. */
+const RECONNECT_MS = 100;
+const RECONNECT_MAX_MS = 800;
 /**
- * Milliseconds after which an endpoint daemon that said nothing since it was asked counts as silent;
- * it says something within some 30 ms of each question.
+ * Milliseconds without any message after a request for a seat or a draw, after which the endpoint daemon counts as
+ * unresponsive; it normally sends something within about 30 ms of each request.
  */
-const SILENT_MS = 350;
+const ANSWER_TIMEOUT_MS = 350;
 /**
- * Milliseconds without a word after which the connection is made anew, until the endpoint daemon has
- * said how long it may be silent; and by how much longer than that it is borne with.
+ * Limits on silence, after which the connection is closed and made again. Until the endpoint daemon has announced how
+ * long it may be silent (`silenceMs`), the limit is this number of milliseconds; afterwards it is the announced time
+ * multiplied by the factor.
  */
-const QUIET_MS = 2500;
-const QUIET_FACTOR = 2.5;
+const FIRST_SILENCE_MS = 2500;
+const SILENCE_FACTOR = 2.5;
 /**
- * Milliseconds after which an endpoint daemon that was never reached counts as away: when a whole site
- * starts, all daemons are up within about a second.
+ * Milliseconds after which an endpoint daemon that was never connected counts as absent instead of starting. When a
+ * whole site starts, all daemons are up within about a second.
  */
-const FIRST_REACH_MS = 2000;
+const STARTING_MS = 2000;
 
 /**
- * Milliseconds for which an endpoint daemon that has just been reached may not know its engine: it reads the
- * configuration and the engine first. Until then the engine that was known before is not taken for gone.
+ * Milliseconds after connecting during which an endpoint daemon may report no engine, since it first has to read the
+ * configuration and query its engine. Within this time the engine known from before is not considered lost.
  */
-const UNACQUAINTED_MS = 1500;
+const ENGINE_UNKNOWN_MS = 1500;
 
-/** What came of asking for a seat. */
+/** Result of a request for a seat. */
 export type Answer =
   | { readonly kind: "grant"; readonly instance: string; readonly version: number | undefined }
   | { readonly kind: "deny"; readonly reason: seat.Deny }
-  /** The endpoint daemon cannot be reached, or fell silent. */
+  /** The endpoint daemon is not connected or did not answer in time, or the caller released the seat first. */
   | { readonly kind: "unreachable" };
 
+/** What a request for a seat tells the endpoint daemon. */
 export type Wish = Omit<Extract<seat.FromEntry, { kind: "ask" }>, "kind" | "seat">;
 
-/** A seat that was asked for. */
+/** A seat that was requested, granted or not. */
 export interface Seat {
   readonly answer: Promise<Answer>;
+  /** Reports that the first event came after `ms` milliseconds. */
   readonly began: (ms: number) => void;
+  /** Gives the seat back, or withdraws the request for it; `how` tells how the request ended. */
   readonly over: (how: Extract<seat.FromEntry, { kind: "over" }>["how"]) => void;
 }
 
+/** What a connection needs, and the callbacks that it calls. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: record.Log;
   /** Name of this host. */
   readonly host: string;
-  /** An incarnation of the engine is no longer there, as its endpoint daemon says. */
-  readonly lost: (instance: string) => void;
-  /** The engine has other adapters at hand than it had. */
-  readonly holds: (before: ReadonlySet<string>, now: ReadonlySet<string>) => void;
-  /** An engine may be of use that was not. */
-  readonly came: () => void;
-  /** The endpoint daemon tells how many entry daemons are connected to it. */
-  readonly counted: (entries: number) => void;
-  /** The endpoint daemon tells of requests that end their workers. */
+  /** Called when the endpoint daemon reports that an incarnation of the engine no longer exists. */
+  readonly onEngineLost: (instance: string) => void;
+  /** Called with the resident and warm adapters of the engine, before and after a change. */
+  readonly onAdaptersChanged: (before: ReadonlySet<string>, now: ReadonlySet<string>) => void;
+  /** Called when an engine may have become usable. */
+  readonly onAvailable: () => void;
+  /** Called with the number of entry daemons that the endpoint daemon says are connected to it. */
+  readonly onEntryCount: (entries: number) => void;
+  /** Called with a message about requests that crash workers. */
   readonly suspicion: (m: hearsay.Message, peer: string) => void;
-  /** The endpoint daemon tells what a worker says of itself. */
+  /** Called with a message that relays what a worker announced about itself. */
   readonly notice: (m: noticeMessages.Notice, peer: string) => void;
-  /** What the endpoint daemon at an address is told when it is reached. */
+  /** The messages to send to the endpoint daemon at an address once it is connected. */
   readonly greeting: (address: string) => readonly seat.FromEntry[];
 }
 
-interface Asked {
+/** A seat request that has no answer yet. */
+interface WaitingSeat {
+  /** Monotonic ms at which it was sent. */
   readonly at: number;
   readonly resolve: (a: Answer) => void;
 }
 
+/** A connection to one endpoint daemon, which is made again whenever it breaks. */
 export class Link {
   private channel: lines.Channel<seat.FromEntry> | undefined;
-  private last: seat.State | undefined;
-  private held: choice.Holdings | undefined;
-  /** Adapters that the engine held before, the latest first. */
-  private recent: readonly string[] = [];
-  private atHand: ReadonlySet<string> = new Set();
-  private instance = "";
-  private heardAt = -Infinity;
-  private stateAt = -Infinity;
-  /** Monotonic ms of the first question since the last word; undefined while there is none. */
-  private unheardSince: number | undefined;
-  private tokens = 0;
-  private slots = 0;
-  private next = 0;
-  private readonly asked = new Map<number, Asked>();
+  private lastState: seat.State | undefined;
+  private lastHoldings: choice.Holdings | undefined;
+  /** Keys of the adapters that were resident on the engine and no longer are, the latest first. */
+  private recentAdapters: readonly string[] = [];
+  private currentAdapters: ReadonlySet<string> = new Set();
+  private lastInstance = "";
+  private lastHeardAt = -Infinity;
+  private stateReceivedAt = -Infinity;
+  /** Monotonic ms of the first seat request sent since the last message received; undefined where there is none. */
+  private unansweredSince: number | undefined;
+  private tokensSinceState = 0;
+  private slotsSinceState = 0;
+  private nextNumber = 0;
+  private readonly waitingSeats = new Map<number, WaitingSeat>();
   private readonly draws: draws.Draws;
-  private retryMs = RETRY_MS;
-  private timer: clock.Timer | undefined;
-  private check: clock.Timer | undefined;
-  /** Monotonic ms at which {@link check} fires. */
-  private checkAt = Infinity;
+  private reconnectMs = RECONNECT_MS;
+  private reconnectTimer: clock.Timer | undefined;
+  private silenceTimer: clock.Timer | undefined;
+  /** Monotonic ms at which {@link silenceTimer} fires. */
+  private silenceTimerAt = Infinity;
   private closed = false;
-  private forgotten = true;
-  /** Monotonic ms at which the connection stood, and whether an engine was named on it. */
-  private reachedAt = -Infinity;
-  private isAcquainted = false;
-  private readonly madeAt: number;
+  private closedByPeer = true;
+  /** Monotonic ms at which the connection was established, and whether an engine was named on it since. */
+  private connectedAt = -Infinity;
+  private hasNamedEngine = false;
+  private readonly createdAt: number;
 
   constructor(
     /** `ip:port` of the endpoint daemon. */
     readonly address: string,
     private readonly deps: Deps,
   ) {
-    this.madeAt = deps.clock.mono();
+    this.createdAt = deps.clock.mono();
     this.draws = new draws.Draws(deps.clock);
     this.connect();
   }
 
-  /** The engine's state as last heard; undefined while there is no connection. */
+  /** The last state received; undefined while the endpoint daemon is not connected or is unresponsive. */
   get state(): seat.State | undefined {
-    return this.last;
+    return this.lastState;
   }
 
-  /** Milliseconds since the state was heard. */
+  /** Milliseconds since the last state was received. */
   get ageMs(): number {
-    return this.deps.clock.mono() - this.stateAt;
+    return this.deps.clock.mono() - this.stateReceivedAt;
   }
 
-  /** What the engine holds, as last heard; it outlives a connection. */
+  /** The last holdings received; they are kept when the connection is lost. */
   get holdings(): choice.Holdings | undefined {
-    return this.held;
+    return this.lastHoldings;
   }
 
-  /** Keys of the adapters that the engine has at hand, as last heard. */
+  /** Keys of the adapters that are resident or warm on the engine, by the last holdings received. */
   get hand(): ReadonlySet<string> {
-    return this.atHand;
+    return this.currentAdapters;
   }
 
-  /** An engine is on its way: its daemon is not reached for the first time yet, or it has no model. */
+  /** Whether the engine is starting: its daemon has not been connected yet, or the engine has no base model yet. */
   get coming(): boolean {
-    if (this.last) return this.last.instance !== "" && (this.held?.models.length ?? 0) === 0;
-    return this.held === undefined && this.deps.clock.mono() - this.madeAt < FIRST_REACH_MS;
+    if (this.lastState)
+      return this.lastState.instance !== "" && (this.lastHoldings?.models.length ?? 0) === 0;
+    return this.lastHoldings === undefined && this.deps.clock.mono() - this.createdAt < STARTING_MS;
   }
 
-  /** Prompt tokens asked for since the state was heard. */
+  /** Prompt tokens of the seats requested since the last state was received. */
   get tokensSince(): number {
-    return this.tokens;
+    return this.tokensSinceState;
   }
 
-  /** Adapters asked for since the state was heard that the engine did not hold. */
+  /** Seats requested since the last state was received for adapters that were not resident on the engine. */
   get slotsSince(): number {
-    return this.slots;
+    return this.slotsSinceState;
   }
 
-  /** Whether the endpoint daemon is reached. */
+  /** Whether the endpoint daemon is connected. */
   get isReached(): boolean {
     return this.channel !== undefined;
   }
 
-  /** Whether the endpoint daemon is reached, and did not fall silent since it was asked something. */
+  /** Whether the endpoint daemon is connected, has sent a state and answers in time. */
   get isHeard(): boolean {
-    return this.last !== undefined;
+    return this.lastState !== undefined;
   }
 
-  /** Whether the endpoint daemon surely knows that the connection to it is over: it ended it, or it ended. */
+  /**
+   * Whether the endpoint daemon surely knows that the connection is closed, because its side closed it: the daemon did
+   * so, or its process ended.
+   */
   get isForgotten(): boolean {
-    return !this.isReached && this.forgotten;
+    return !this.isReached && this.closedByPeer;
   }
 
-  /** Tells the endpoint daemon something that has no answer. */
+  /** Sends a message that has no answer; drops it while the endpoint daemon is not connected. */
   send(m: Exclude<seat.FromEntry, { kind: "hello" | "ask" | "began" | "over" | "draw" }>): void {
     this.channel?.send(m);
   }
 
-  /** Asks for requests of a total; nothing where the endpoint daemon is away or falls silent. */
-  draw(key: string, wish: allowance.Wish): Promise<limiterMessages.Drawn | undefined> {
+  /**
+   * Draws requests from a shared total. Resolves with undefined where the endpoint daemon is not connected or does not
+   * answer in time.
+   */
+  draw(key: string, req: allowance.Wish): Promise<limiterMessages.Drawn | undefined> {
     const { channel } = this;
     if (!channel) return Promise.resolve(undefined);
-    const n = this.next++;
-    // Unlike a seat it is answered at once, so what else the endpoint daemon says meanwhile counts for nothing.
-    const answer = this.draws.wait(n, SILENT_MS, () => {
-      this.last = undefined;
+    const n = this.nextNumber++;
+    // A draw is answered at once, unlike a seat, so other messages that arrive meanwhile don't extend its timeout.
+    const answer = this.draws.wait(n, ANSWER_TIMEOUT_MS, () => {
+      this.lastState = undefined;
     });
-    channel.send({ kind: "draw", draw: n, key, ...wish });
+    channel.send({ kind: "draw", draw: n, key, ...req });
     return answer;
   }
 
-  /** Asks for a seat. */
-  ask(wish: Wish): Seat {
-    const n = this.next++;
+  /** Requests a seat. */
+  ask(req: Wish): Seat {
+    const n = this.nextNumber++;
     const { channel } = this;
-    if (!channel) return { answer: Promise.resolve({ kind: "unreachable" }), ...NOBODY };
+    if (!channel) return { answer: Promise.resolve({ kind: "unreachable" }), ...NO_CONNECTION };
     const now = this.deps.clock.mono();
     const answer = new Promise<Answer>((resolve) => {
-      this.asked.set(n, { at: now, resolve });
+      this.waitingSeats.set(n, { at: now, resolve });
     });
-    this.unheardSince ??= now;
-    this.tokens += wish.promptTokens;
-    if (wish.adapter !== undefined && !this.holds(wish.model, wish.adapter)) this.slots++;
-    channel.send({ kind: "ask", seat: n, ...wish });
-    this.watch();
+    this.unansweredSince ??= now;
+    this.tokensSinceState += req.promptTokens;
+    if (req.adapter !== undefined && !this.isResident(req.model, req.adapter))
+      this.slotsSinceState++;
+    channel.send({ kind: "ask", seat: n, ...req });
+    this.scheduleSilenceCheck();
     return {
       answer,
       began: (ms) => {
@@ -221,74 +237,75 @@
     };
   }
 
-  private holds(model: string, adapter: string): boolean {
-    return this.held?.resident.includes(catalog.adapterKey(model, adapter)) ?? false;
+  private isResident(model: string, adapter: string): boolean {
+    return this.lastHoldings?.resident.includes(catalog.adapterKey(model, adapter)) ?? false;
   }
 
+  /** Closes the connection for good. */
   close(): void {
     this.closed = true;
-    this.timer?.cancel();
-    this.check?.cancel();
+    this.reconnectTimer?.cancel();
+    this.silenceTimer?.cancel();
     this.channel?.close();
   }
 
   private connect(): void {
     const socket = net.connect(addresses.parse(this.address));
-    const limit = this.deps.clock.after(CONNECT_MS, () => {
-      socket.destroy(new Error("no connection in time"));
+    const timeout = this.deps.clock.after(CONNECT_TIMEOUT_MS, () => {
+      socket.destroy(new Error("connection timed out"));
     });
-    let stood = false;
+    let wasConnected = false;
     socket.once("connect", () => {
-      limit.cancel();
-      stood = true;
-      this.retryMs = RETRY_MS;
+      timeout.cancel();
+      wasConnected = true;
+      this.reconnectMs = RECONNECT_MS;
       this.channel = channel;
-      this.heardAt = this.deps.clock.mono();
-      this.reachedAt = this.heardAt;
-      this.isAcquainted = false;
+      this.lastHeardAt = this.deps.clock.mono();
+      this.connectedAt = this.lastHeardAt;
+      this.hasNamedEngine = false;
       channel.send({ kind: "hello", host: this.deps.host });
       for (const m of this.deps.greeting(this.address)) channel.send(m);
       this.deps.log.info("An endpoint daemon is reached.", { peer: this.address });
-      this.watch();
+      this.scheduleSilenceCheck();
     });
     const channel = lines.channel<seat.FromEndpoint, seat.FromEntry>(socket, seat.fromEndpoint, {
       message: (m) => {
-        this.hear(m);
+        this.receive(m);
       },
       closed: (why, byPeer) => {
-        limit.cancel();
-        this.forgotten = byPeer;
-        this.lost(stood, why);
+        timeout.cancel();
+        this.closedByPeer = byPeer;
+        this.disconnected(wasConnected, why);
       },
     });
   }
 
-  private lost(stood: boolean, why: string): void {
-    if (stood && !this.closed) {
+  private disconnected(wasConnected: boolean, why: string): void {
+    if (wasConnected && !this.closed) {
       this.deps.log.warn("An endpoint daemon is lost.", { peer: this.address, why });
     }
     this.channel = undefined;
-    this.last = undefined;
-    this.unheardSince = undefined;
-    this.tokens = 0;
-    for (const n of [...this.asked.keys()]) this.settle(n, { kind: "unreachable" });
+    this.lastState = undefined;
+    this.unansweredSince = undefined;
+    this.tokensSinceState = 0;
+    for (const n of [...this.waitingSeats.keys()]) this.settle(n, { kind: "unreachable" });
     this.draws.drop();
     if (this.closed) return;
-    this.timer = this.deps.clock.after(this.retryMs, () => {
+    this.reconnectTimer = this.deps.clock.after(this.reconnectMs, () => {
       this.connect();
     });
-    this.retryMs = Math.min(RETRY_MAX_MS, this.retryMs * 2);
+    this.reconnectMs = Math.min(RECONNECT_MAX_MS, this.reconnectMs * 2);
   }
 
-  private hear(m: seat.FromEndpoint): void {
-    this.heardAt = this.deps.clock.mono();
-    this.unheardSince = undefined;
+  private receive(m: seat.FromEndpoint): void {
+    this.lastHeardAt = this.deps.clock.mono();
+    this.unansweredSince = undefined;
     switch (m.kind) {
       case "state":
-        this.take(m);
+        this.updateState(m);
         break;
       case "holdings":
-        this.hold(m);
+        this.updateHoldings(m);
         break;
       case "grant":
         this.settle(m.seat, { kind: "grant", instance: m.instance, version: m.version });
@@ -308,93 +325,97 @@
     }
   }
 
-  private take(m: seat.State): void {
-    const known = this.last?.instance === m.instance;
-    this.isAcquainted ||= m.instance !== "";
-    if (this.isAcquainted || this.heardAt - this.reachedAt >= UNACQUAINTED_MS) {
-      if (this.instance !== "" && m.instance !== this.instance) this.forget();
-      this.instance = m.instance;
+  private updateState(m: seat.State): void {
+    const isSameEngine = this.lastState?.instance === m.instance;
+    this.hasNamedEngine ||= m.instance !== "";
+    if (this.hasNamedEngine || this.lastHeardAt - this.connectedAt >= ENGINE_UNKNOWN_MS) {
+      if (this.lastInstance !== "" && m.instance !== this.lastInstance) this.engineLost();
+      this.lastInstance = m.instance;
     }
-    this.last = m;
-    this.deps.counted(m.entries);
-    this.stateAt = this.heardAt;
-    this.tokens = 0;
-    this.slots = 0;
-    if (!known && m.instance !== "") this.deps.came();
+    this.lastState = m;
+    this.deps.onEntryCount(m.entries);
+    this.stateReceivedAt = this.lastHeardAt;
+    this.tokensSinceState = 0;
+    this.slotsSinceState = 0;
+    if (!isSameEngine && m.instance !== "") this.deps.onAvailable();
   }
 
-  /** Remembers what the engine holds, and what it held until now. */
-  private hold(m: seat.Holdings): void {
-    const gone = (this.held?.resident ?? []).filter((key) => !m.resident.includes(key));
-    this.recent = [...m.gone, ...gone.filter((key) => !m.gone.includes(key))].reduce(
+  /** Takes in the engine's holdings, and remembers the adapters that are no longer resident. */
+  private updateHoldings(m: seat.Holdings): void {
+    const gone = (this.lastHoldings?.resident ?? []).filter((key) => !m.resident.includes(key));
+    this.recentAdapters = [...m.gone, ...gone.filter((key) => !m.gone.includes(key))].reduce(
       warmth.remember,
-      this.recent,
+      this.recentAdapters,
     );
     const { models, resident } = m;
-    const came = models.some((name) => !this.held?.models.includes(name));
-    this.keep({ models, resident, warm: this.recent.slice(0, m.reach) });
-    if (came) this.deps.came();
+    const hasNewModel = models.some((name) => !this.lastHoldings?.models.includes(name));
+    this.setHoldings({ models, resident, warm: this.recentAdapters.slice(0, m.reach) });
+    if (hasNewModel) this.deps.onAvailable();
   }
 
-  private keep(held: choice.Holdings): void {
+  private setHoldings(held: choice.Holdings): void {
     const now = new Set([...held.resident, ...held.warm]);
-    this.deps.holds(this.atHand, now);
-    this.atHand = now;
-    this.held = held;
+    this.deps.onAdaptersChanged(this.currentAdapters, now);
+    this.currentAdapters = now;
+    this.lastHoldings = held;
   }
 
-  /** The engine's incarnation is gone, and with it what it had in memory. */
-  private forget(): void {
-    this.deps.lost(this.instance);
-    this.recent = [];
-    if (this.held) this.keep({ ...this.held, warm: [] });
+  /** Handles the loss of the engine's incarnation: the adapters that it kept in memory are lost with it. */
+  private engineLost(): void {
+    this.deps.onEngineLost(this.lastInstance);
+    this.recentAdapters = [];
+    if (this.lastHoldings) this.setHoldings({ ...this.lastHoldings, warm: [] });
   }
 
   private settle(n: number, a: Answer): void {
-    this.asked.get(n)?.resolve(a);
-    this.asked.delete(n);
+    this.waitingSeats.get(n)?.resolve(a);
+    this.waitingSeats.delete(n);
   }
 
-  /** Sets the timer for when silence, or silence after a question, will have lasted too long. */
-  private watch(): void {
+  /** Sets the timer for the moment when the silence of the connection, or after a seat request, reaches its limit. */
+  private scheduleSilenceCheck(): void {
     const now = this.deps.clock.mono();
-    const at = Math.min(this.heardAt + this.quietMs(), (this.unheardSince ?? Infinity) + SILENT_MS);
-    // A timer that fires too soon sets the next one; timers for each word would cost more.
-    if (this.check && this.checkAt <= at) return;
-    this.check?.cancel();
-    this.checkAt = at;
-    this.check = this.deps.clock.after(Math.max(1, at - now), () => {
-      this.check = undefined;
+    const at = Math.min(
+      this.lastHeardAt + this.maxSilenceMs(),
+      (this.unansweredSince ?? Infinity) + ANSWER_TIMEOUT_MS,
+    );
+    // A timer that fires too early sets the next one; to reset the timer at each message would cost more.
+    if (this.silenceTimer && this.silenceTimerAt <= at) return;
+    this.silenceTimer?.cancel();
+    this.silenceTimerAt = at;
+    this.silenceTimer = this.deps.clock.after(Math.max(1, at - now), () => {
+      this.silenceTimer = undefined;
       this.checkSilence();
     });
   }
 
-  private quietMs(): number {
-    return this.last ? QUIET_FACTOR * this.last.silenceMs : QUIET_MS;
+  private maxSilenceMs(): number {
+    return this.lastState ? SILENCE_FACTOR * this.lastState.silenceMs : FIRST_SILENCE_MS;
   }
 
   private checkSilence(): void {
     if (!this.channel) return;
     const now = this.deps.clock.mono();
-    if (now - this.heardAt >= this.quietMs()) {
+    if (now - this.lastHeardAt >= this.maxSilenceMs()) {
       this.channel.close();
       return;
     }
     let next = Infinity;
-    for (const [n, a] of this.asked) {
-      if (a.at < this.heardAt) continue;
-      if (now - a.at < SILENT_MS) {
+    for (const [n, a] of this.waitingSeats) {
+      if (a.at < this.lastHeardAt) continue;
+      if (now - a.at < ANSWER_TIMEOUT_MS) {
         next = Math.min(next, a.at);
         continue;
       }
-      this.last = undefined;
+      this.lastState = undefined;
       this.settle(n, { kind: "unreachable" });
-      // A daemon that stood still may give the seat when it wakes; what nobody gives back stays in use for good.
+      // A daemon that was suspended may grant the seat when it resumes, and a seat that is never released would stay in
+      // use for good.
       this.channel.send({ kind: "over", seat: n, how: "left" });
     }
-    this.unheardSince = next === Infinity ? undefined : next;
-    this.watch();
+    this.unansweredSince = next === Infinity ? undefined : next;
+    this.scheduleSilenceCheck();
   }
 }
 
-const NOBODY = { began: () => undefined, over: () => undefined };
+const NO_CONNECTION = { began: () => undefined, over: () => undefined };
--- a/test/serving/links.ts
+++ b/test/serving/links.ts
@@ -1,5 +1,5 @@
 /**
- * An entry daemon's connection to an endpoint daemon, by itself.
+ * Opens an entry daemon's connection to an endpoint daemon without the rest of the entry daemon.
  * @module
  */
 import * as clock from "../../src/host/clock.js";
@@ -7,7 +7,7 @@
 import * as link from "../../src/serving/link.js";
 import type * as noticeMessages from "../../src/serving/notice-messages.js";
 
-/** Opens one to `ip:port`, and notes the engines that it takes for gone and what it is told of workers. */
+/** Connects to `ip:port`, and records the engines reported as lost and the notices received about workers. */
 export function open(address: string, greeting: ReturnType<link.Deps["greeting"]> = []) {
   const lost: string[] = [];
   const told: noticeMessages.Notice[] = [];
@@ -15,10 +15,10 @@
     clock: clock.system,
     log: record.silent,
     host: "entry",
-    lost: (id) => lost.push(id),
-    holds: () => undefined,
-    came: () => undefined,
-    counted: () => undefined,
+    onEngineLost: (id) => lost.push(id),
+    onAdaptersChanged: () => undefined,
+    onAvailable: () => undefined,
+    onEntryCount: () => undefined,
     suspicion: () => undefined,
     notice: (m) => told.push(m),
     greeting: () => greeting,
