--- a/src/serving/choice.ts
+++ b/src/serving/choice.ts
@@ -1,5 +1,5 @@
 /**
- * Which endpoint a request goes to. Pure.
+ * Ranks the endpoints that a request may go to by estimated latency and further costs. Pure functions.
  * @module
  */
 import * as admission from "./admission.js";
@@ -8,238 +8,255 @@
 import * as reading from "./reading.js";
 import type * as seat from "./seat.js";
 
-/** What an engine holds, as an entry daemon knows it. */
+/** The models and adapters of an engine, as last reported to an entry daemon. */
 export interface Holdings {
   readonly models: readonly string[];
-  /** Adapters that can be used at once or are about to, by key. */
+  /** Keys of the adapters that can be used at once, or soon. */
   readonly resident: readonly string[];
-  /** Adapters that load fast, by key. */
+  /** Keys of the adapters that load fast. */
   readonly warm: readonly string[];
 }
 
-/** One endpoint as an entry daemon knows it. */
+/** What an entry daemon knows of one endpoint. */
 export interface View {
   readonly endpoint: catalog.Endpoint;
-  /** The last state its endpoint daemon sent; undefined while none is connected. */
+  /** The last state that its endpoint daemon sent; undefined while that daemon is not connected or is unresponsive. */
   readonly state: seat.State | undefined;
-  /** What the engine held when its endpoint daemon was last heard. */
+  /** The last holdings that its endpoint daemon sent. */
   readonly holdings: Holdings | undefined;
-  /** This host's requests under way there. */
+  /** Number of this host's requests in flight there. */
   readonly own: number;
-  /** Prompt tokens that this host asked seats for since the state was sent. */
+  /** Prompt tokens of the seats that this host requested since it received the state. */
   readonly ownTokens: number;
-  /** Adapters that this host asked for since the state was sent and the engine did not hold. */
+  /** Seats that this host requested since it received the state for adapters that were not resident. */
   readonly ownSlots: number;
-  /** Part of this host's latest requests there that failed, 0 to 1. */
+  /** Fraction of this host's latest requests there that failed, 0 to 1. */
   readonly failing: number;
-  /** Milliseconds that this host's latest requests there took. */
+  /** Average latency of this host's latest requests there, in milliseconds; 0 before the first. */
   readonly tookMs: number;
-  /** Its engine is known to be on its way: alive without its model, or not heard of yet at all. */
+  /** Whether its engine is starting: it runs without its base model yet, or its daemon was not connected yet. */
   readonly coming: boolean;
-  /** Where it stands in the order in which all hosts try engines for the adapter; 0 goes first. */
+  /** Its index in the order in which all hosts try engines for the adapter; 0 is tried first. */
   readonly place: number;
-  /** Milliseconds since its state was heard. */
+  /** Milliseconds since its state was received. */
   readonly ageMs: number;
-  /** Milliseconds until the limit that it names lets one more request in; 0 where it has none. */
+  /** Milliseconds until the limit that it announced admits one more request; 0 where it has no limit. */
   readonly limitedMs: number;
-  /** Milliseconds until it takes a request of this host, its limit apart; Infinity where it leaves. */
+  /** Milliseconds until it accepts a request of this host, regardless of its limit; Infinity where it is leaving. */
   readonly opensInMs: number;
 }
 
-/** What a request needs. */
+/** What a request requires of an endpoint. */
 export interface Need {
   readonly model: string;
-  /** Key of the adapter, or undefined for the base model. */
+  /** Key of the adapter; undefined for the base model. */
   readonly key: string | undefined;
   readonly promptTokens: number;
   readonly rank: number;
   readonly domain: string;
-  /** Endpoints that this request has been to. */
+  /** Ids of the endpoints that this request has already tried. */
   readonly tried: ReadonlySet<string>;
-  /** Milliseconds left until its first event is late. */
+  /** Milliseconds left until its first event misses the route's target. */
   readonly targetMs: number;
-  /** Endpoint at which it waits for a seat, and is counted in the engine's backlog. */
+  /** Id of the endpoint where it waits for a seat, whose backlog already includes it. */
   readonly waitsAt?: string | undefined;
 }
 
-/** A candidate's estimate, in ms; the smallest total is chosen. */
+/** The estimated cost of a candidate, in ms; the smallest sum of `firstMs` and `penaltyMs` is best. */
 export interface Estimate {
   readonly view: View;
-  /** Until the first event, as far as known. */
+  /** Estimated time until the first event; Infinity where the endpoint cannot serve the request. */
   readonly firstMs: number;
-  /** The part of it that the request itself takes, however idle the endpoint is. */
+  /** The part of `firstMs` that remains on an idle endpoint, where the request waits for nothing. */
   readonly ownMs: number;
-  /** What the choice weighs besides: loads that cost others, failures, distance. */
+  /** Further costs: loads that delay other requests, failures, distance. */
   readonly extraMs: number;
 }
 
 /**
- * Loads from the weight store that one of them is weighed as, where another engine has the adapter: it
- * takes its own time, and holds up the next one that the store has to serve.
+ * Penalty for loading an adapter from the weight store while another engine has it, in cold loads. A load takes its own
+ * time, and delays the next load that the store has to serve.
  */
-const COPY_LOADS = 2;
+const COPY_PENALTY_LOADS = 2;
 /**
- * Loads from the weight store that being late is weighed as. With it, another copy is made sooner where
- * the engine that has the adapter would be late and another one would not.
+ * Penalty for missing the target, in cold loads. It makes a second copy of an adapter likelier where the engine that
+ * has the adapter would miss the target and another engine would not.
  */
-const LATE_LOADS = 1;
-/** Milliseconds that each step down an adapter's own order of engines costs, to keep it at one. */
-const ORDER_MS = 12;
-/** Milliseconds that another failure domain is away, both ways, and what its bytes cost. */
-const DOMAIN_MS = 6;
-/** Milliseconds that an engine whose every run fails is weighed down by. */
-const FAILING_MS = 4000;
-/** Milliseconds that an engine of which nothing was heard is weighed down by. */
-const UNHEARD_MS = 700;
-
-/** An engine whose endpoint daemon is not reached: of use for what it held when last heard alone. */
-function unheard(view: View, need: Need, extraMs: number): Estimate {
+const LATE_PENALTY_LOADS = 1;
+/** Penalty in milliseconds for each step down an adapter's order of engines, which keeps the adapter on one engine. */
+const ORDER_PENALTY_MS = 12;
+/** Penalty in milliseconds for another failure domain: the round trip there, and the cost of the traffic. */
+const DOMAIN_PENALTY_MS = 6;
+/** Penalty in milliseconds for an endpoint where every request fails. */
+const FAILURE_PENALTY_MS = 4000;
+/** Penalty in milliseconds for an engine whose state is unknown. */
+const UNKNOWN_STATE_PENALTY_MS = 700;
+
+/**
+ * Estimate for an engine whose endpoint daemon is not connected or is unresponsive. It is usable only for adapters that
+ * were resident by the last holdings received.
+ */
+function estimateWithoutState(view: View, need: Need, basePenaltyMs: number): Estimate {
   const usable =
     view.holdings?.models.includes(need.model) && holding(view, need.key) === "resident";
-  const ownMs = reading.expectedMs(reading.UNKNOWN, need.promptTokens);
-  return { view, firstMs: usable ? ownMs : Infinity, ownMs, extraMs: extraMs + UNHEARD_MS };
+  const idleMs = reading.expectedMs(reading.UNKNOWN, need.promptTokens);
+  return {
+    view,
+    firstMs: usable ? idleMs : Infinity,
+    ownMs: idleMs,
+    extraMs: basePenaltyMs + UNKNOWN_STATE_PENALTY_MS,
+  };
 }
 
-/** Candidates that can serve a request on an engine, best first. */
+/** The engines that can serve a request, best first. */
 export function engines(views: readonly View[], need: Need): readonly Estimate[] {
   const usable = views.filter((v) => isUsable(v, need));
-  const around: Around = {
-    elsewhere: usable.some((v) => holding(v, need.key) !== "absent"),
-    usualMs: usualWaitMs(usable, need.rank),
+  const summary: FleetSummary = {
+    hasAdapter: usable.some((v) => holding(v, need.key) !== "absent"),
+    meanWaitMs: meanWaitMsOf(usable, need.rank),
   };
   return usable
-    .map((view) => estimate(view, need, around))
+    .map((view) => estimate(view, need, summary))
     .filter((e) => Number.isFinite(e.firstMs))
     .sort((a, b) => a.firstMs + a.extraMs - (b.firstMs + b.extraMs));
 }
 
 /**
- * Whether a request may go to an endpoint that takes requests: its turn under the limit there comes soon, or it waits
- * there already.
+ * Whether a request may go to an endpoint: the endpoint accepts requests and was not tried yet, and its limit admits
+ * the request soon, or the request already waits there.
  */
 function isUsable(v: View, need: Pick<Need, "tried" | "waitsAt">): boolean {
   if (v.opensInMs > 0 || need.tried.has(v.endpoint.id)) return false;
   return v.limitedMs <= admission.TURN_MS || need.waitsAt === v.endpoint.id;
 }
 
-/** What the other candidates tell of one. */
-interface Around {
-  /** Some candidate has the adapter at hand. */
-  readonly elsewhere: boolean;
-  /** Mean of what the candidates say that a prompt waits. */
-  readonly usualMs: number;
+/** What the estimate of one candidate takes from all candidates. */
+interface FleetSummary {
+  /** Whether the adapter is resident or warm on some candidate. */
+  readonly hasAdapter: boolean;
+  /** Mean of the waiting times that the candidates reported. */
+  readonly meanWaitMs: number;
 }
 
 /**
- * Milliseconds after which half of what sets an engine's queue apart from the others' is forgotten. Each
- * engine of the large fleet is sent some four prompts a second of 120 ms each, so half a second changes its
- * queue by about as much as queues differ, and what was short is what the other hosts filled since.
+ * Half-life, in milliseconds, of the difference between an engine's reported waiting time and the mean of all engines.
+ * In a large fleet each engine gets about four prompts of 120 ms a second. Half a second then changes a queue by about
+ * as much as queues differ, and the other hosts have meanwhile filled the queue that was reported as short.
  */
-const AGE_HALF_MS = 500;
+const WAIT_HALF_LIFE_MS = 500;
 
-function waitMsOf(state: seat.State, rank: number): number {
+function reportedWaitMs(state: seat.State, rank: number): number {
   return state.waitMs[backlog.place(rank)] ?? 0;
 }
 
-function usualWaitMs(views: readonly View[], rank: number): number {
+function meanWaitMsOf(views: readonly View[], rank: number): number {
   let sum = 0;
   let count = 0;
   for (const { state } of views) {
     if (!state || state.instance === "") continue;
-    sum += waitMsOf(state, rank);
+    sum += reportedWaitMs(state, rank);
     count++;
   }
   return count === 0 ? 0 : sum / count;
 }
 
-/** What an engine's queue is expected to be now, from what it said some time ago. */
-function agedWaitMs(saidMs: number, ageMs: number, usualMs: number): number {
-  return usualMs + (saidMs - usualMs) * 2 ** (-ageMs / AGE_HALF_MS);
+/** The waiting time expected now, from one reported `ageMs` ago: it decays towards the mean of all engines. */
+function decayedWaitMs(reportedMs: number, ageMs: number, meanWaitMs: number): number {
+  return meanWaitMs + (reportedMs - meanWaitMs) * 2 ** (-ageMs / WAIT_HALF_LIFE_MS);
 }
 
-/** Whether an engine has an adapter at hand, as last heard. */
+/** Whether an adapter is resident, warm or absent on an engine, by the last holdings received. */
 export function holding(v: View, key: string | undefined): "resident" | "warm" | "absent" {
   if (key === undefined || v.holdings?.resident.includes(key)) return "resident";
   return v.holdings?.warm.includes(key) ? "warm" : "absent";
 }
 
-function estimate(view: View, need: Need, around: Around): Estimate {
+function estimate(view: View, need: Need, summary: FleetSummary): Estimate {
   const { state, holdings, place } = view;
-  const far = view.endpoint.domain === need.domain ? 0 : DOMAIN_MS;
-  const failingMs = Math.max(view.failing, state?.failing ?? 0) ** 2 * FAILING_MS;
-  const extraMs = far + failingMs;
-  if (!state) return unheard(view, need, extraMs);
-  const ownMs = state.firstMs + need.promptTokens * state.msPerToken;
+  const domainPenaltyMs = view.endpoint.domain === need.domain ? 0 : DOMAIN_PENALTY_MS;
+  const failurePenaltyMs = Math.max(view.failing, state?.failing ?? 0) ** 2 * FAILURE_PENALTY_MS;
+  const basePenaltyMs = domainPenaltyMs + failurePenaltyMs;
+  if (!state) return estimateWithoutState(view, need, basePenaltyMs);
+  const idleMs = state.firstMs + need.promptTokens * state.msPerToken;
   if (state.instance === "" || !holdings?.models.includes(need.model)) {
-    return { view, firstMs: Infinity, ownMs, extraMs };
+    return { view, firstMs: Infinity, ownMs: idleMs, extraMs: basePenaltyMs };
   }
-  // A request that waits there is counted in that engine's backlog already.
-  const counted = need.waitsAt === view.endpoint.id ? need.promptTokens : 0;
-  const aheadMs = (view.ownTokens - counted) * state.msPerToken;
-  const saidMs = agedWaitMs(waitMsOf(state, need.rank), view.ageMs, around.usualMs);
+  // Where the request already waits, the engine's backlog includes its tokens.
+  const countedTokens = need.waitsAt === view.endpoint.id ? need.promptTokens : 0;
+  const ownQueueMs = (view.ownTokens - countedTokens) * state.msPerToken;
+  const reportedMs = decayedWaitMs(
+    reportedWaitMs(state, need.rank),
+    view.ageMs,
+    summary.meanWaitMs,
+  );
   const limitedMs = need.waitsAt === view.endpoint.id ? 0 : view.limitedMs;
-  const queueMs = Math.max(0, saidMs + aheadMs, limitedMs);
-  const lateMs = (firstMs: number): number =>
-    firstMs > need.targetMs ? LATE_LOADS * state.coldMs : 0;
-  // Likewise for the place that it waits for; else it would move from engine to engine at each look.
-  const countedMs = need.waitsAt === view.endpoint.id ? state.eachSlotMs : 0;
-  const slotMs = Math.max(0, state.slotMs + view.ownSlots * state.eachSlotMs - countedMs);
+  const queueMs = Math.max(0, reportedMs + ownQueueMs, limitedMs);
+  const latePenaltyMs = (firstMs: number): number =>
+    firstMs > need.targetMs ? LATE_PENALTY_LOADS * state.coldMs : 0;
+  // The same holds for the slot it waits for. Otherwise the request would move to another engine at each comparison.
+  const countedSlotMs = need.waitsAt === view.endpoint.id ? state.eachSlotMs : 0;
+  const slotMs = Math.max(0, state.slotMs + view.ownSlots * state.eachSlotMs - countedSlotMs);
   switch (holding(view, need.key)) {
     case "resident":
       return {
         view,
-        firstMs: queueMs + ownMs,
-        ownMs,
-        extraMs: extraMs + lateMs(queueMs + ownMs) + place * ORDER_MS,
+        firstMs: queueMs + idleMs,
+        ownMs: idleMs,
+        extraMs: basePenaltyMs + latePenaltyMs(queueMs + idleMs) + place * ORDER_PENALTY_MS,
       };
     case "warm": {
-      const firstMs = Math.max(queueMs, slotMs + state.warmMs) + ownMs;
+      const firstMs = Math.max(queueMs, slotMs + state.warmMs) + idleMs;
       return {
         view,
         firstMs,
-        ownMs,
-        extraMs: extraMs + lateMs(firstMs) + place * ORDER_MS,
+        ownMs: idleMs,
+        extraMs: basePenaltyMs + latePenaltyMs(firstMs) + place * ORDER_PENALTY_MS,
       };
     }
     case "absent": {
-      const firstMs = Math.max(queueMs, slotMs + state.coldMs) + ownMs;
-      const copyMs = around.elsewhere ? COPY_LOADS * state.coldMs : 0;
+      const firstMs = Math.max(queueMs, slotMs + state.coldMs) + idleMs;
+      const copyPenaltyMs = summary.hasAdapter ? COPY_PENALTY_LOADS * state.coldMs : 0;
       return {
         view,
         firstMs,
-        ownMs,
-        extraMs: extraMs + lateMs(firstMs) + copyMs + place * ORDER_MS,
+        ownMs: idleMs,
+        extraMs: basePenaltyMs + latePenaltyMs(firstMs) + copyPenaltyMs + place * ORDER_PENALTY_MS,
       };
     }
   }
 }
 
-/** Milliseconds that a call of a plain service takes until one was seen at any of its endpoints. */
-const UNSEEN_CALL_MS = 50;
+/** Latency assumed for the endpoints of a plain service until the first call has ended, in milliseconds. */
+const DEFAULT_CALL_MS = 50;
 
-/** Candidates for a request to a plain service, best first. `random` breaks ties. */
+/** The endpoints of a plain service that can serve a request, best first. `random` breaks ties. */
 export function plain(
   views: readonly View[],
   need: Pick<Need, "domain" | "tried">,
   random: () => number,
 ): readonly Estimate[] {
-  const usualMs = usualCallMs(views);
+  const meanMs = meanCallMs(views);
   return views
     .filter((v) => isUsable(v, need))
     .map((view) => {
-      const far = view.endpoint.domain === need.domain ? 0 : DOMAIN_MS;
-      const ownMs = view.tookMs > 0 ? view.tookMs : usualMs;
-      const busyMs = ownMs * (1 + (2 * view.own) / Math.max(1, view.endpoint.seats));
+      const domainPenaltyMs = view.endpoint.domain === need.domain ? 0 : DOMAIN_PENALTY_MS;
+      const idleMs = view.tookMs > 0 ? view.tookMs : meanMs;
+      const busyMs = idleMs * (1 + (2 * view.own) / Math.max(1, view.endpoint.seats));
       const firstMs = view.limitedMs + busyMs;
-      const failingMs = view.failing ** 2 * FAILING_MS;
-      return { view, firstMs, ownMs, extraMs: far + failingMs + random() * DOMAIN_MS };
+      const failurePenaltyMs = view.failing ** 2 * FAILURE_PENALTY_MS;
+      return {
+        view,
+        firstMs,
+        ownMs: idleMs,
+        extraMs: domainPenaltyMs + failurePenaltyMs + random() * DOMAIN_PENALTY_MS,
+      };
     })
     .sort((a, b) => a.firstMs + a.extraMs - (b.firstMs + b.extraMs));
 }
 
-/** Mean of what calls took at the endpoints that were called. */
-function usualCallMs(views: readonly View[]): number {
-  const seen = views.filter((v) => v.tookMs > 0).map((v) => v.tookMs);
-  if (seen.length === 0) return UNSEEN_CALL_MS;
-  return seen.reduce((sum, ms) => sum + ms, 0) / seen.length;
+/** Mean latency of the endpoints that were called. */
+function meanCallMs(views: readonly View[]): number {
+  const latencies = views.filter((v) => v.tookMs > 0).map((v) => v.tookMs);
+  if (latencies.length === 0) return DEFAULT_CALL_MS;
+  return latencies.reduce((sum, ms) => sum + ms, 0) / latencies.length;
 }
