--- a/src/serving/admission.ts
+++ b/src/serving/admission.ts
@@ -1,96 +1,99 @@
 /**
- * Whether a request is let in, how long it waits, and when one that is refused should come back.
+ * Decides whether a request is admitted, how long it may wait, and when a refused one should be retried. Pure.
  *
- * The load that this answers is more prompts than the engines can read for a while. One that is let in
- * then is late itself and makes those behind it late, so what has to wait too long is refused at once.
- * Only waiting counts: a request is not refused for its own size, since what it takes itself is no
- * longer than on an idle engine, and a late answer is of use too. Pure.
+ * While more prompts arrive than the engines can process, each admitted request is late and delays those behind it, so
+ * a request that would wait too long is refused at once. Only waiting counts: a request is not refused for its own
+ * size, since it would take as long on an idle engine, and a late answer is still useful.
  * @module
  */
 import type * as choice from "./choice.js";
 
-/** What is known of a request when it is judged; times from now, in ms. */
+/** What admission considers of a request; times are in ms. */
 export interface Standing {
-  /** Urgency; 0 goes first. */
+  /** Urgency of its route; 0 is the most urgent. */
   readonly rank: number;
-  /** From its arrival until its answer is late. */
+  /** Time from its arrival after which its first event is late. */
   readonly targetMs: number;
-  /** Longest pause between events that is on time; Infinity where none is set. */
+  /** Longest pause between two events that is not late; Infinity where the route sets none. */
   readonly gapMs: number;
-  /** Until its caller or its route gives it up. */
+  /** Time left until its deadline. */
   readonly leftMs: number;
 }
 
+/** Whether a request is admitted; if not, why, and after how many milliseconds it should be retried. */
 export type Verdict =
   | { readonly kind: "serve" }
   | { readonly kind: "refuse"; readonly why: string; readonly comeBackMs: number };
 
 /**
- * Waiting, as a part of the target, above which a request is refused at once. At 1, an answer is late
- * even if it took no time of its own; urgent ones may wait a little longer, since less urgent ones give
- * way to them while they do and what is known of the queue is some 20 ms old.
+ * Longest admitted waiting time by rank, as a fraction of the target. At 1, an answer is late even if it took no time
+ * of its own. More urgent requests may wait a little longer, since less urgent ones give way to them meanwhile, and since
+ * the known state of the queue is about 20 ms old.
  */
-const WAIT_BY_RANK = [1.4, 1.3, 1.0] as const;
+const MAX_WAIT_RATIO_BY_RANK = [1.4, 1.3, 1.0] as const;
 
-/** Judges a request by the best endpoint that there is for it. */
+/** Decides whether a request is admitted, by the estimate of its best endpoint. */
 export function judge(r: Standing, best: choice.Estimate): Verdict {
   if (best.firstMs > r.leftMs) {
     const why = `the first event would come in ${Math.round(best.firstMs)} ms, after the deadline`;
     return { kind: "refuse", why, comeBackMs: best.firstMs - best.ownMs };
   }
   const waitMs = best.firstMs - best.ownMs;
-  const bound = WAIT_BY_RANK[r.rank] ?? WAIT_BY_RANK[2];
-  if (waitMs <= r.targetMs * bound) return { kind: "serve" };
+  const maxRatio = MAX_WAIT_RATIO_BY_RANK[r.rank] ?? MAX_WAIT_RATIO_BY_RANK[2];
+  if (waitMs <= r.targetMs * maxRatio) return { kind: "serve" };
   const why = `it would wait ${Math.round(waitMs)} ms before it is begun`;
   return { kind: "refuse", why, comeBackMs: waitMs };
 }
 
-/** Milliseconds for which a request may wait for its turn under a worker's limit; beyond, it goes elsewhere. */
+/** Longest wait in milliseconds until a worker's limit admits a request; above it, the request goes elsewhere. */
 export const TURN_MS = 500;
 
-/** Part of its target that a request waits while there is no endpoint; refusals must come early. */
-const WAIT_PART = 0.2;
+/** Longest wait while there is no usable endpoint, as a fraction of the target; refusals must come early. */
+const ENDPOINT_WAIT_RATIO = 0.2;
 /**
- * Callers leave a stream that is silent for the longest of these: some time, some targets, some of
- * the pauses that are on time. By the users' pages.
+ * By the callers' documented behaviour, a caller abandons a stream without events after the longest of these: a number
+ * of milliseconds, a multiple of the target, and a multiple of the longest pause between events that is not late.
  */
 const PATIENCE_MS = 2000;
 const PATIENCE_TARGETS = 4;
 const PATIENCE_GAPS = 8;
-/** Part of its time for which a request is held at most: what is left must be enough to come back. */
-const HOLD_PART = 0.6;
+/** Longest wait for a seat, as a fraction of the time before the caller leaves; the rest must suffice for a retry. */
+const SEAT_WAIT_RATIO = 0.6;
 
-/** Milliseconds for which a request waits while no endpoint is there; longer if one is on its way. */
-export function absentMs(r: Standing, coming: boolean): number {
-  return coming ? holdMs(r) : r.targetMs * WAIT_PART;
+/** Milliseconds for which a request may wait while no endpoint is usable; longer if an engine is starting. */
+export function absentMs(r: Standing, isStarting: boolean): number {
+  return isStarting ? holdMs(r) : r.targetMs * ENDPOINT_WAIT_RATIO;
 }
 
-/** Milliseconds for which a request is held for a seat; then its caller is better told to come back. */
+/** Milliseconds for which a request may wait for a seat; after that it is better that its caller is told to retry. */
 export function holdMs(r: Standing): number {
-  const gaps = Number.isFinite(r.gapMs) ? PATIENCE_GAPS * r.gapMs : 0;
-  const patienceMs = Math.max(PATIENCE_MS, PATIENCE_TARGETS * r.targetMs, gaps);
-  return HOLD_PART * Math.min(r.leftMs, patienceMs);
+  const gapsMs = Number.isFinite(r.gapMs) ? PATIENCE_GAPS * r.gapMs : 0;
+  const patienceMs = Math.max(PATIENCE_MS, PATIENCE_TARGETS * r.targetMs, gapsMs);
+  return SEAT_WAIT_RATIO * Math.min(r.leftMs, patienceMs);
 }
 
-/** Milliseconds over which those are spread that come back when a worker takes requests again. */
-const RETURN_SPREAD_MS = 250;
+/** Milliseconds over which retries are spread at random after a worker accepts requests again. */
+const RETRY_SPREAD_MS = 250;
 
-/** When a caller should come back, in ms, that can be served `opensInMs` from now; `random` is from 0 up to 1. */
-export function returnMs(opensInMs: number, random: number): number {
-  return opensInMs + random * RETURN_SPREAD_MS;
+/**
+ * Milliseconds after which a caller should retry where a worker accepts requests again in `availableInMs`; `random` is
+ * 0 or more and less than 1.
+ */
+export function returnMs(availableInMs: number, random: number): number {
+  return availableInMs + random * RETRY_SPREAD_MS;
 }
 
-/** Part of the time left after which a caller still comes back when told to. */
-const COME_BACK_PART = 0.3;
-/** Milliseconds after which a refused caller is told to come back at least. */
-const COME_BACK_MS = 120;
+/** Latest retry, as a fraction of the time left until the deadline; later, callers no longer retry. */
+const MAX_RETRY_RATIO = 0.3;
+/** Shortest time, in milliseconds, after which a refused caller is told to retry, unless its deadline is near. */
+const MIN_RETRY_MS = 120;
 /**
- * Milliseconds after which it is told to come back when nobody knows when it can be served: about what
- * a daemon's start and an engine's load of a base model from its disk take together.
+ * Milliseconds after which a caller is told to retry where it is unknown when the request can be served: about the time
+ * for a daemon to start and for an engine to load a base model from its disk.
  */
 export const UNKNOWN_MS = 1500;
 
-/** When a refused caller should come back, in ms; it must still have time then. */
+/** Milliseconds after which a refused caller should retry, limited so that it still has time then. */
 export function comeBack(wantedMs: number, leftMs: number): number {
-  return Math.min(Math.max(0, leftMs) * COME_BACK_PART, Math.max(COME_BACK_MS, wantedMs));
+  return Math.min(Math.max(0, leftMs) * MAX_RETRY_RATIO, Math.max(MIN_RETRY_MS, wantedMs));
 }
--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The engines of one service, arranged so that a search among them looks at few: in the order that
- * belongs to an adapter, and by who has it. Pure but for the holders, which are read as they are.
+ * Arranges the engines of one service so that a search has to compare only a few of them: by their order for an
+ * adapter, and by which of them have it. Pure functions, except that the adapter index is read as it is.
  * @module
  */
 import * as ring from "../contract/ring.js";
@@ -9,61 +9,65 @@
 import type * as holders from "./holders.js";
 import * as search from "./search.js";
 
-/** Where the engines of a service are. */
+/** The engines of a service, arranged by the addresses of their endpoint daemons. */
 export interface Arrangement {
-  /** The ring of the addresses of their endpoint daemons. */
+  /** Consistent-hash ring of the addresses. */
   readonly ring: ring.Ring;
-  /** The endpoints at each of these addresses: two while an incarnation follows another. */
+  /** The endpoints at each address: two while one incarnation replaces another. */
   readonly at: ReadonlyMap<string, readonly catalog.Endpoint[]>;
 }
 
-/** Failure domains that the first engines in an adapter's order are spread over. */
-const SPREAD = 2;
+/** Number of failure domains over which the first engines in an adapter's order are spread. */
+const FIRST_DOMAINS = 2;
 
 /**
- * Arranges `list` by the addresses that `daemonOf` tells. Of the rings `known`, one of the same addresses
- * is used again, since a new incarnation at an address changes nothing.
+ * Arranges the endpoints `list` by the addresses that `daemonOf` returns. A ring of `cachedRings` that has the same
+ * addresses is reused, since a new incarnation at an address does not change the ring.
  */
 export function arrange(
   list: readonly catalog.Endpoint[],
   daemonOf: (e: catalog.Endpoint) => string,
-  known: readonly ring.Ring[],
+  cachedRings: readonly ring.Ring[],
 ): Arrangement {
   const at = new Map<string, readonly catalog.Endpoint[]>();
   for (const e of list) {
     const address = daemonOf(e);
     at.set(address, [...(at.get(address) ?? []), e]);
   }
-  const same = known.find(
+  const cached = cachedRings.find(
     (r) => r.places.length === at.size && r.places.every((p) => at.has(p.name)),
   );
-  if (same) return { at, ring: same };
+  if (cached) return { at, ring: cached };
   const places = [...at].map(([name, [e]]) => ({ name, failureDomain: e?.domain ?? "" }));
   return { at, ring: ring.build(places) };
 }
 
-/** What a search needs of the engines in an arrangement. */
+/** The views of the engines in a layout, for a search. `adapters` tells which engines have an adapter. */
 export function of(
-  a: Arrangement,
-  having: holders.Holders,
+  layout: Arrangement,
+  adapters: holders.Holders,
   viewOf: (e: catalog.Endpoint, place: number) => choice.View,
   random: () => number,
 ): search.Fleet {
   const viewsAt = (address: string, place: number): readonly choice.View[] =>
-    (a.at.get(address) ?? []).map((e) => viewOf(e, place));
+    (layout.at.get(address) ?? []).map((e) => viewOf(e, place));
   return {
     inOrder: (key, n) =>
-      ring.successors(a.ring, key, n, SPREAD).flatMap((p, place) => viewsAt(p.name, place)),
+      ring
+        .successors(layout.ring, key, n, FIRST_DOMAINS)
+        .flatMap((p, place) => viewsAt(p.name, place)),
     having: (key) => {
-      const there = [...having.of(key)].filter((address) => a.at.has(address));
-      return drawn(there, search.HOLDERS, random).flatMap((at) => viewsAt(at, search.ELSEWHERE));
+      const addresses = [...adapters.of(key)].filter((address) => layout.at.has(address));
+      return sample(addresses, search.HOLDERS, random).flatMap((address) =>
+        viewsAt(address, search.ELSEWHERE),
+      );
     },
   };
 }
 
-/** Up to `n` of a list, drawn at random. */
-function drawn<T>(list: readonly T[], n: number, random: () => number): readonly T[] {
-  const left = [...list];
-  if (left.length <= n) return left;
-  return Array.from({ length: n }, () => left.splice(Math.floor(random() * left.length), 1)).flat();
+/** Up to `n` elements of a list, sampled at random without replacement. */
+function sample<T>(list: readonly T[], n: number, random: () => number): readonly T[] {
+  const rest = [...list];
+  if (rest.length <= n) return rest;
+  return Array.from({ length: n }, () => rest.splice(Math.floor(random() * rest.length), 1)).flat();
 }
--- a/src/serving/holders.ts
+++ b/src/serving/holders.ts
@@ -1,33 +1,34 @@
 /**
- * Which engines are known to have which adapters at hand: one index over all engines that an entry host
- * hears of, so that the holders of an adapter are found without a look at every engine.
+ * An index of which adapters are resident or warm on which engines. It covers all engines that an entry host is
+ * connected to, so that the engines that have an adapter are found without a scan of all engines.
  * @module
  */
 
+/** Maps adapter keys to the addresses of the endpoint daemons whose engines have them. */
 export class Holders {
   private readonly byKey = new Map<string, Set<string>>();
 
-  /** The engine at `address` has the adapters `now`, and had `before`. */
+  /** Records that the engine at `address`, which had the adapters `before`, has the adapters `now`. */
   changed(address: string, before: ReadonlySet<string>, now: ReadonlySet<string>): void {
     for (const key of before) if (!now.has(key)) this.remove(key, address);
     for (const key of now) if (!before.has(key)) this.add(key, address);
   }
 
-  /** Addresses of the engines that have an adapter. */
+  /** Addresses of the endpoint daemons whose engines have an adapter. */
   of(key: string): ReadonlySet<string> {
-    return this.byKey.get(key) ?? NOBODY;
+    return this.byKey.get(key) ?? NO_ADDRESSES;
   }
 
   private add(key: string, address: string): void {
-    const known = this.byKey.get(key);
-    if (known) known.add(address);
+    const addresses = this.byKey.get(key);
+    if (addresses) addresses.add(address);
     else this.byKey.set(key, new Set([address]));
   }
 
   private remove(key: string, address: string): void {
-    const known = this.byKey.get(key);
-    if (known?.delete(address) && known.size === 0) this.byKey.delete(key);
+    const addresses = this.byKey.get(key);
+    if (addresses?.delete(address) && addresses.size === 0) this.byKey.delete(key);
   }
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_ADDRESSES: ReadonlySet<string> = new Set();
--- a/src/serving/incarnation.ts
+++ b/src/serving/incarnation.ts
@@ -1,45 +1,45 @@
 /**
- * Which start of a worker something is known of. A worker may start again under the name that it had; it then
- * holds and knows nothing of before. So all that is remembered of an endpoint is remembered under its name
- * and its start together, and a new start drops it in one step.
+ * Ids that tell the incarnations of a worker apart. A worker that restarts under its old name has lost its adapters and
+ * its memory of earlier requests. So everything that is remembered of an endpoint is kept under an id of the worker's
+ * name and its start time, and a restart discards it in one step.
  *
- * Starts of one worker are compared with each other alone: the clocks of hosts differ, and may step.
+ * Only start times of the same worker are compared, since the clocks of hosts differ and may be stepped.
  * @module
  */
 
-/** Stands between a worker's name and its start. */
-const MARK = "#";
+/** Separates a worker's name from its start time. */
+const SEPARATOR = "#";
 
-/** The id of a worker's incarnation; `born` is the Unix ms of its start, where it tells it. */
-export function idOf(worker: string, born: number | undefined): string {
-  if (born !== undefined) return `${worker}${MARK}${born}`;
-  // A name that holds the mark is kept apart from a name with a start.
-  return worker.includes(MARK) ? `${worker}${MARK}` : worker;
+/** The id of a worker's incarnation; `startedAt` is its start in Unix ms, undefined where it is not reported. */
+export function idOf(worker: string, startedAt: number | undefined): string {
+  if (startedAt !== undefined) return `${worker}${SEPARATOR}${startedAt}`;
+  // A final separator keeps a name that contains the separator from being read as a name with a start time.
+  return worker.includes(SEPARATOR) ? `${worker}${SEPARATOR}` : worker;
 }
 
-/** The name by which the worker of an incarnation knows itself. */
+/** The name of an incarnation's worker. */
 export function workerOf(id: string): string {
-  const at = id.lastIndexOf(MARK);
-  return at < 0 ? id : id.slice(0, at);
+  const index = id.lastIndexOf(SEPARATOR);
+  return index < 0 ? id : id.slice(0, index);
 }
 
-/** The start of an incarnation in Unix ms; undefined where its worker does not tell it. */
+/** The start time of an incarnation in Unix ms; undefined where the worker does not report it. */
 export function bornOf(id: string): number | undefined {
-  const at = id.lastIndexOf(MARK);
-  return at < 0 || at === id.length - 1 ? undefined : Number(id.slice(at + 1));
+  const index = id.lastIndexOf(SEPARATOR);
+  return index < 0 || index === id.length - 1 ? undefined : Number(id.slice(index + 1));
 }
 
-/** Whether two ids may mean the same start: of one worker, where each tells its start at the same one. */
+/** Whether two ids may denote the same incarnation: the same worker, and not two different start times. */
 export function isSame(a: string, b: string): boolean {
   if (a === b) return true;
   if (workerOf(a) !== workerOf(b)) return false;
-  const [bornA, bornB] = [bornOf(a), bornOf(b)];
-  return bornA === undefined || bornB === undefined || bornA === bornB;
+  const [startA, startB] = [bornOf(a), bornOf(b)];
+  return startA === undefined || startB === undefined || startA === startB;
 }
 
-/** Whether `a` is known to be an earlier start of the same worker as `b`. */
+/** Whether `a` is known to be an earlier incarnation of the same worker than `b`. */
 export function isOlder(a: string, b: string): boolean {
-  const [bornA, bornB] = [bornOf(a), bornOf(b)];
-  if (bornA === undefined || bornB === undefined) return false;
-  return workerOf(a) === workerOf(b) && bornA < bornB;
+  const [startA, startB] = [bornOf(a), bornOf(b)];
+  if (startA === undefined || startB === undefined) return false;
+  return workerOf(a) === workerOf(b) && startA < startB;
 }
--- a/src/serving/seeker.ts
+++ b/src/serving/seeker.ts
@@ -1,5 +1,5 @@
 /**
- * Finds an endpoint for a request, and a seat on it where it is an engine.
+ * Picks an endpoint for a request, and gets a seat on it where it is an engine.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -13,6 +13,7 @@
 import * as search from "./search.js";
 import type * as workerNotices from "./worker-notices.js";
 
+/** What a seat finder needs of the entry daemon. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly endpoints: endpoints.Endpoints;
@@ -22,41 +23,42 @@
 }
 
 /**
- * Milliseconds until those that did not take a request are tried again, where there is no other; an
- * endpoint that comes meanwhile is tried at once.
+ * Milliseconds after which endpoints that did not take a request are tried again, where there is no other endpoint. One
+ * that becomes available meanwhile is tried at once.
  */
-const AGAIN_MS = 100;
+const RETRY_MS = 100;
 /**
- * Milliseconds until the first look for an engine that would take a waiting request sooner; each further
- * one comes after twice the time, so that a long wait costs few looks. By how much sooner it must be: more
- * than what an estimate is mostly off by.
+ * Milliseconds until a waiting request is first compared with other engines. The interval doubles with each comparison,
+ * so that a long wait costs few of them.
  */
-const MOVE_LOOK_MS = 60;
-const MOVE_GAIN_MS = 200;
+const FIRST_COMPARE_MS = 60;
+/** Milliseconds by which another engine must be sooner for a waiting request to move: more than most estimates err by. */
+const MIN_GAIN_MS = 200;
 /**
- * Times that a request may be sent back by engines with too long a queue. Each time costs a way to an
- * engine; a third engine that knows no better is no surprise but a full fleet.
+ * Number of engines that may turn a request away because their queue is too long. Each costs a round trip, and if a
+ * third engine is just as busy, the whole fleet is full.
  */
-const DIVERSIONS = 2;
+const MAX_DIVERSIONS = 2;
 
-const CLOSED = "all workers that could run it leave, are at their limits or asked for a pause";
+const ALL_CLOSED = "all workers that could run it leave, are at their limits or asked for a pause";
 
-/** A seat that was given. */
+/** A granted seat, with the adapter version and the engine's incarnation that it is for. */
 export interface Granted extends link.Seat {
   readonly version: number | undefined;
   readonly instance: string;
 }
 
-/** What came of looking for a seat. */
+/** Result of the attempt to get a seat on one engine. */
 export type Found =
   | { readonly kind: "seat"; readonly seat: Granted }
-  /** The request goes to the engine without a seat: its daemon is away, what it held may be there. */
+  /** The request goes to the engine without a seat: its daemon is unreachable, but it may still have the adapter. */
   | { readonly kind: "seatless" }
-  /** Not there; another engine may have one. */
+  /** No seat on this engine; another engine may have one. */
   | { readonly kind: "elsewhere" }
-  /** It was sent back at once, before it waited. */
+  /** The engine turned the request away at once because its queue is too long. */
   | { readonly kind: "diverted" };
 
+/** Picks endpoints, and gets seats on engines, for the requests of one entry daemon. */
 export class Seeker {
   constructor(
     /** Failure domain of this host. */
@@ -64,50 +66,50 @@
     private readonly deps: Deps,
   ) {}
 
-  /** Whether a request is let in, as things stand at its best endpoint. */
+  /** Decides whether a request is admitted, by the estimate of its best endpoint. */
   judge(a: ask.Ask, best: choice.Estimate): admission.Verdict {
     if (!a.service.engine) return { kind: "serve" };
-    return admission.judge(standing(a, this.deps.clock.mono()), best);
+    return admission.judge(timesOf(a, this.deps.clock.mono()), best);
   }
 
-  /** The best endpoint; waits a little for one where there is none. */
+  /** Picks the best endpoint. Where none is usable, waits for a limited time until one is. */
   async pick(
     a: ask.Ask,
     p: progress.Progress,
-    cut: AbortSignal,
+    signal: AbortSignal,
   ): Promise<choice.Estimate | undefined> {
     for (;;) {
       const best = this.candidates(a, p)[0];
-      if (best || cut.aborted) return best;
+      if (best || signal.aborted) return best;
       const coming = this.deps.endpoints.coming(a.service);
-      const until = p.waitsFrom + admission.absentMs(standing(a, p.waitsFrom), coming);
-      const leftMs = Math.min(a.dueAt, until) - this.deps.clock.mono();
-      const opens = this.deps.endpoints.opens(a.service);
-      if (opens && !coming && opens.inMs > leftMs) {
-        p.opensInMs = admission.returnMs(opens.inMs, this.deps.random());
-        p.closedBy = opens.reason;
-        p.why = CLOSED;
+      const waitsUntil = p.waitsFrom + admission.absentMs(timesOf(a, p.waitsFrom), coming);
+      const leftMs = Math.min(a.dueAt, waitsUntil) - this.deps.clock.mono();
+      const opening = this.deps.endpoints.opens(a.service);
+      if (opening && !coming && opening.inMs > leftMs) {
+        p.opensInMs = admission.returnMs(opening.inMs, this.deps.random());
+        p.closedBy = opening.reason;
+        p.why = ALL_CLOSED;
         return undefined;
       }
       if (leftMs <= 0) return undefined;
-      // Where all were tried, the least bad of them may have come back.
-      await this.someCome(Math.min(leftMs, AGAIN_MS, opens?.inMs ?? Infinity), cut);
+      // Endpoints that failed may have recovered by now, so all of them are tried again.
+      await this.untilAvailable(Math.min(leftMs, RETRY_MS, opening?.inMs ?? Infinity), signal);
       p.tried.clear();
     }
   }
 
-  /** Resolves once an endpoint may be of use that was not, after `ms`, or when `cut` aborts. */
-  private someCome(ms: number, cut: AbortSignal): Promise<void> {
+  /** Resolves when an endpoint may have become usable, after `ms`, or when `signal` aborts. */
+  private untilAvailable(ms: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
         timer.cancel();
-        forget();
-        cut.removeEventListener("abort", wake);
+        unsubscribe();
+        signal.removeEventListener("abort", wake);
         resolve();
       };
       const timer = this.deps.clock.after(ms, wake);
-      const forget = this.deps.endpoints.whenSomeCome(wake);
-      cut.addEventListener("abort", wake, { once: true });
+      const unsubscribe = this.deps.endpoints.whenSomeCome(wake);
+      signal.addEventListener("abort", wake, { once: true });
     });
   }
 
@@ -135,24 +137,24 @@
     return search.find(this.deps.endpoints.fleet(a.service), need, a.meta.id);
   }
 
-  /** Milliseconds for which a request may still be held for a seat. */
+  /** Milliseconds for which a request may still wait for a seat. */
   heldMs(a: ask.Ask, p: progress.Progress): number {
-    return p.waitsFrom + admission.holdMs(standing(a, p.waitsFrom)) - this.deps.clock.mono();
+    return p.waitsFrom + admission.holdMs(timesOf(a, p.waitsFrom)) - this.deps.clock.mono();
   }
 
-  /** A seat on an engine. */
+  /** Requests a seat on an engine and waits for the answer, or until the request should move to another engine. */
   async seat(
     a: ask.Ask,
     best: choice.Estimate,
     p: progress.Progress,
-    cut: AbortSignal,
+    signal: AbortSignal,
   ): Promise<Found> {
     const { endpoint } = best.view;
     const { target } = a.meta;
     if (!target) return { kind: "seatless" };
     const key = target.adapter && catalog.adapterKey(target.model, target.adapter);
     const now = this.deps.clock.mono();
-    const asked = this.deps.endpoints.link(endpoint).ask({
+    const pending = this.deps.endpoints.link(endpoint).ask({
       request: a.meta.id,
       model: target.model,
       ...(target.adapter !== undefined && { adapter: target.adapter }),
@@ -162,21 +164,21 @@
       rank: a.route.rank,
       targetMs: Math.max(0, a.arrivedAt + a.route.targetMs - now),
       leftMs: Math.max(1, this.heldMs(a, p)),
-      firm: p.diverted.has(endpoint.id) || p.diverted.size >= DIVERSIONS,
+      firm: p.diverted.has(endpoint.id) || p.diverted.size >= MAX_DIVERSIONS,
     });
-    const left = (): void => {
-      asked.over("left");
+    const withdraw = (): void => {
+      pending.over("left");
     };
-    cut.addEventListener("abort", left, { once: true });
-    const answer = await this.answerOrMove(a, p, best, asked);
-    cut.removeEventListener("abort", left);
+    signal.addEventListener("abort", withdraw, { once: true });
+    const answer = await this.answerOrMove(a, p, best, pending);
+    signal.removeEventListener("abort", withdraw);
     switch (answer.kind) {
       case "moved":
         return { kind: "elsewhere" };
       case "grant":
         return {
           kind: "seat",
-          seat: { ...asked, version: answer.version, instance: answer.instance },
+          seat: { ...pending, version: answer.version, instance: answer.instance },
         };
       case "deny":
         p.why = `the engine's seat was denied: ${answer.reason}`;
@@ -187,63 +189,66 @@
         p.tried.add(endpoint.id);
         return { kind: "elsewhere" };
       case "unreachable":
-        if (cut.aborted) return { kind: "elsewhere" };
+        if (signal.aborted) return { kind: "elsewhere" };
         p.why = "the endpoint daemon is not reached";
-        // What the engine held may still be there, and it refuses what it does not hold.
+        // The engine may still have the adapter, and refuses a request for one that it does not have.
         if (choice.holding(best.view, key) === "resident") return { kind: "seatless" };
         p.tried.add(endpoint.id);
         return { kind: "elsewhere" };
     }
   }
 
-  /** Waits for the answer to a wish; gives it up when the engine closes, or another could take the request sooner. */
+  /**
+   * Waits for the answer to a seat request. Withdraws it when the worker stops accepting requests, or when another
+   * engine could serve the request sooner.
+   */
   private answerOrMove(
     a: ask.Ask,
     p: progress.Progress,
     best: choice.Estimate,
-    asked: link.Seat,
+    pending: link.Seat,
   ): Promise<link.Answer | { readonly kind: "moved" }> {
     return new Promise((resolve) => {
       const { id } = best.view.endpoint;
-      let lookMs = MOVE_LOOK_MS * 2 ** p.moves;
+      let intervalMs = FIRST_COMPARE_MS * 2 ** p.moves;
       const move = (): void => {
         timer.cancel();
         resolve({ kind: "moved" });
-        asked.over("left");
+        pending.over("left");
       };
-      const look = (): void => {
-        if (this.soonerElsewhere(a, p, id)) {
+      const compare = (): void => {
+        if (this.isSoonerElsewhere(a, p, id)) {
           p.moves++;
           move();
           return;
         }
-        lookMs *= 2;
-        timer = this.deps.clock.after(lookMs, look);
+        intervalMs *= 2;
+        timer = this.deps.clock.after(intervalMs, compare);
       };
-      let timer = this.deps.clock.after(lookMs, look);
-      const forget = this.deps.notices.whenClosed(id, move);
-      void asked.answer.then((answer) => {
+      let timer = this.deps.clock.after(intervalMs, compare);
+      const unsubscribe = this.deps.notices.whenClosed(id, move);
+      void pending.answer.then((answer) => {
         timer.cancel();
-        forget();
+        unsubscribe();
         resolve(answer);
       });
     });
   }
 
-  /** Whether another engine than `id` would now take a request much sooner. */
-  private soonerElsewhere(a: ask.Ask, p: progress.Progress, id: string): boolean {
+  /** Whether another engine than `id` would now serve a request much sooner. */
+  private isSoonerElsewhere(a: ask.Ask, p: progress.Progress, id: string): boolean {
     const list = this.candidates(a, p, id);
-    const top = list[0];
-    const here = list.find((e) => e.view.endpoint.id === id);
-    if (!top || top === here) return false;
-    if (!here) return true;
-    const sooner = here.firstMs + here.extraMs - (top.firstMs + top.extraMs);
-    return sooner > MOVE_GAIN_MS;
+    const best = list[0];
+    const current = list.find((e) => e.view.endpoint.id === id);
+    if (!best || best === current) return false;
+    if (!current) return true;
+    const gainMs = current.firstMs + current.extraMs - (best.firstMs + best.extraMs);
+    return gainMs > MIN_GAIN_MS;
   }
 }
 
-/** How a request stands at the monotonic ms `at`. */
-function standing(a: ask.Ask, at: number): admission.Standing {
+/** The rank, target and remaining time of a request at the monotonic ms `now`. */
+function timesOf(a: ask.Ask, now: number): admission.Standing {
   const { rank, targetMs, gapMs } = a.route;
-  return { rank, targetMs, gapMs, leftMs: a.dueAt - at };
+  return { rank, targetMs, gapMs, leftMs: a.dueAt - now };
 }
