--- a/src/serving/admission.ts
+++ b/src/serving/admission.ts
@@ -27,8 +27,8 @@
 
 /**
  * Longest admitted waiting time by rank, as a fraction of the target. At 1, an answer is late even if it took no time
- * of its own. More urgent requests may wait a little longer, since less urgent ones give way to them meanwhile, and since
- * the known state of the queue is about 20 ms old.
+ * of its own. More urgent requests may wait a little longer, since less urgent ones give way to them meanwhile, and
+ * since the known state of the queue is about 20 ms old.
  */
 const MAX_WAIT_RATIO_BY_RANK = [1.4, 1.3, 1.0] as const;
 
--- a/src/serving/search.ts
+++ b/src/serving/search.ts
@@ -32,8 +32,8 @@
 export const ELSEWHERE = 4;
 
 /**
- * The engines that can serve a request, best first. `orderKey` is the key whose order is used for a request that names no
- * adapter.
+ * The engines that can serve a request, best first. `orderKey` is the key whose order is used for a request that names
+ * no adapter.
  */
 export function find(
   fleet: Fleet,
--- a/src/serving/seeker.ts
+++ b/src/serving/seeker.ts
@@ -32,7 +32,7 @@
  * so that a long wait costs few of them.
  */
 const FIRST_COMPARE_MS = 60;
-/** Milliseconds by which another engine must be sooner for a waiting request to move: more than most estimates err by. */
+/** Milliseconds by which another engine must be sooner for a waiting request to move; most estimates err by less. */
 const MIN_GAIN_MS = 200;
 /**
  * Number of engines that may turn a request away because their queue is too long. Each costs a round trip, and if a
@@ -181,7 +181,7 @@
           seat: { ...pending, version: answer.version, instance: answer.instance },
         };
       case "deny":
-        p.why = `the engine's seat was denied: ${answer.reason}`;
+        p.why = `the endpoint daemon denied a seat: ${answer.reason}`;
         if (answer.reason === "busy") {
           p.diverted.add(endpoint.id);
           return { kind: "diverted" };
@@ -190,7 +190,7 @@
         return { kind: "elsewhere" };
       case "unreachable":
         if (signal.aborted) return { kind: "elsewhere" };
-        p.why = "the endpoint daemon is not reached";
+        p.why = "the endpoint daemon is unreachable";
         // The engine may still have the adapter, and refuses a request for one that it does not have.
         if (choice.holding(best.view, key) === "resident") return { kind: "seatless" };
         p.tried.add(endpoint.id);
--- a/test/serving/decisions.test.ts
+++ b/test/serving/decisions.test.ts
@@ -17,7 +17,7 @@
 const BUDGET: retries.Options = { ratio: 0.2, slack: 40, windowMs: 10_000 };
 
 describe("retries", () => {
-  it("keep all hosts together within the ratio and the slack of any window", () => {
+  it("stay within ratio and slack in any window, over all hosts together", () => {
     const host = fc.integer({ min: 0, max: 3 });
     const tries = fc.array(fc.tuple(host, fc.boolean(), fc.integer({ min: 0, max: 200 })), {
       maxLength: 600,
@@ -41,9 +41,9 @@
         }
         for (const end of taken) {
           const within = (t: number): boolean => t > end - BUDGET.windowMs && t <= end;
-          // A take counts requests of the window before it, so those of two windows may matter.
-          const owed = asked.filter((t) => t > end - 2 * BUDGET.windowMs && t <= end).length;
-          const limit = BUDGET.ratio * owed + BUDGET.slack;
+          // A retry is allowed by requests of the window before it, so requests of two windows may count.
+          const requests = asked.filter((t) => t > end - 2 * BUDGET.windowMs && t <= end).length;
+          const limit = BUDGET.ratio * requests + BUDGET.slack;
           expect(taken.filter(within).length).most(limit);
         }
       }),
@@ -52,7 +52,7 @@
 });
 
 describe("events", () => {
-  it("come whole and in order however the stream is cut", () => {
+  it("arrive whole and in order however the stream is split", () => {
     const line = fc.stringMatching(/^[a-z0-9 ]{0,20}$/);
     const one = fc.record({ id: fc.nat(), data: line, crlf: fc.boolean() });
     fc.assert(
@@ -80,7 +80,7 @@
     );
   });
 
-  it("hold an event back until it is whole", () => {
+  it("are held back until they are complete", () => {
     const cutter = new events.Cutter();
     expect(cutter.take(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"))).length(1);
     expect(cutter.tail().toString()).equal("id: 2\nda");
@@ -98,7 +98,7 @@
     expect(at.versions.get("m/a")).equal(3);
   });
 
-  it("takes the longest prefix of the host", () => {
+  it("finds the route of the host with the longest matching prefix", () => {
     const routes = ["/", "/c/", "/c/d/"].map((prefix) => ({ ...fixtures.ROUTE, prefix }));
     const config = { ...fixtures.CONFIG, routes };
     expect(catalog.routeOf(config, "a.example", "/c/d/e")?.prefix).equal("/c/d/");
@@ -123,7 +123,7 @@
 describe("backlog", () => {
   const perToken = reading.msPerToken(reading.UNKNOWN);
 
-  it("counts prompts not yet begun, of the same rank or more urgent", () => {
+  it("counts the prompts of the same or a more urgent rank that have not begun", () => {
     let b = backlog.IDLE;
     b = backlog.asked(b, "a", 2000, 0);
     b = backlog.asked(b, "b", 2000, 2);
@@ -133,11 +133,11 @@
     expect(backlog.waits(b, 150)[0]).equal(0);
   });
 
-  it("counts what was read of a prompt since its seat was given", () => {
+  it("deducts what was read of a prompt since its seat was granted", () => {
     let b = backlog.given(backlog.asked(backlog.IDLE, "a", 2000, 0), "a", 0);
     const all = 2000 * perToken;
     expect(backlog.waits(b, all / 2)[0]).equal(Math.round(all / 2));
-    // What has a seat is read before what waits, however urgent.
+    // Prompts with a seat are read before waiting ones, however urgent those are.
     b = backlog.given(backlog.asked(b, "b", 2000, 2), "b", 0);
     expect(backlog.waits(b, 0)[0]).equal(Math.round(2 * all));
     b = backlog.over(b, "a");
@@ -145,7 +145,7 @@
   });
 });
 
-describe("prompts that a host has seats for and does not send", () => {
+describe("prompts that have a seat but are never sent", () => {
   it("do not keep an engine from others for good", () => {
     let b = backlog.IDLE;
     for (let i = 0; i < 20; i++) {
@@ -159,8 +159,8 @@
   });
 });
 
-describe("reading", () => {
-  it("learns any engine's speed from some runs, however odd a few of them were", () => {
+describe("prefill speed", () => {
+  it("learns any engine's speed from a few runs, despite outliers", () => {
     const perMs = fc.double({ min: 4, max: 200, noNaN: true });
     const first = fc.double({ min: 5, max: 300, noNaN: true });
     const prompts = fc.array(fc.integer({ min: 50, max: 20_000 }), {
@@ -186,7 +186,7 @@
     );
   });
 
-  it("learns that an engine has turned slow", () => {
+  it("learns that an engine has become slow", () => {
     let r = reading.UNKNOWN;
     const run = (ms: number): void => {
       for (const tokens of [800, 9000, 2000, 12_000]) r = reading.seen(r, tokens, ms + tokens / 40);
@@ -197,7 +197,7 @@
     expect(reading.expectedMs(r, 9000)).above(before * 1.8);
   });
 
-  it("stays a number for runs that are all alike", () => {
+  it("stays finite when all runs are identical", () => {
     let r = reading.UNKNOWN;
     for (let i = 0; i < 500; i++) r = reading.seen(r, 1000, 100);
     expect(reading.expectedMs(r, 1000)).closeTo(100, 5);
@@ -205,12 +205,12 @@
   });
 });
 
-describe("warmth", () => {
-  it("learns how many adapters load fast, from either side", () => {
+describe("load history", () => {
+  it("learns how many adapters load fast, also where it first assumes too many or too few", () => {
     for (const memory of [20, 60, 150]) {
       let w = warmth.UNKNOWN;
       let inMemory: readonly string[] = [];
-      // Adapters come back after more and less time than they are kept for.
+      // Some adapters are requested again while they are in memory, and some only after they were evicted.
       const rng = generators.xoroshiro128plus(memory);
       for (let i = 0; i < 3000; i++) {
         const key = `a${Math.floor(uniform.uniformFloat64(rng) * 211)}`;
@@ -242,58 +242,61 @@
   targetMs: 3000,
 };
 
-function holds(id: string, over: Partial<choice.View> = {}): choice.View {
+function withAdapter(id: string, over: Partial<choice.View> = {}): choice.View {
   const holdings = { models: ["m"], resident: ["m/a"], warm: [] };
   return fixtures.view(id, { holdings, ...over });
 }
 
 describe("choice", () => {
   it("trusts what an engine said the less the older it is", () => {
-    const said = (id: string, ms: number, ageMs: number): choice.View =>
-      holds(id, {
+    const reported = (id: string, ms: number, ageMs: number): choice.View =>
+      withAdapter(id, {
         state: { ...fixtures.STATE, instance: id, waitMs: new Array<number>(10).fill(ms) },
         ageMs,
       });
     const firstMs = (ageMs: number): number | undefined =>
       choice
-        .engines([said("1", 0, ageMs), said("2", 400, 0)], NEED)
+        .engines([reported("1", 0, ageMs), reported("2", 400, 0)], NEED)
         .find((e) => e.view.endpoint.id === "1")?.firstMs;
-    const own = firstMs(0) ?? 0;
-    expect((firstMs(500) ?? 0) - own).closeTo(100, 1);
-    expect((firstMs(5000) ?? 0) - own).closeTo(200, 1);
+    const freshMs = firstMs(0) ?? 0;
+    expect((firstMs(500) ?? 0) - freshMs).closeTo(100, 1);
+    expect((firstMs(5000) ?? 0) - freshMs).closeTo(200, 1);
   });
 
-  it("prefers the engine that holds the adapter", () => {
-    const best = choice.engines([fixtures.view("1"), holds("2"), fixtures.view("3")], NEED)[0];
+  it("prefers the engine where the adapter is resident", () => {
+    const best = choice.engines(
+      [fixtures.view("1"), withAdapter("2"), fixtures.view("3")],
+      NEED,
+    )[0];
     expect(best?.view.endpoint.id).equal("2");
   });
 
-  it("loads a second copy only where the first engine is far behind", () => {
-    const behind = (ms: number): choice.View =>
-      holds("2", {
+  it("loads a second copy only if the queue of the engine with the first is long", () => {
+    const queued = (ms: number): choice.View =>
+      withAdapter("2", {
         state: { ...fixtures.STATE, instance: "2", waitMs: new Array<number>(10).fill(ms) },
       });
-    expect(choice.engines([fixtures.view("1"), behind(500)], NEED)[0]?.view.endpoint.id).equal("2");
-    expect(choice.engines([fixtures.view("1"), behind(1500)], NEED)[0]?.view.endpoint.id).equal(
+    expect(choice.engines([fixtures.view("1"), queued(500)], NEED)[0]?.view.endpoint.id).equal("2");
+    expect(choice.engines([fixtures.view("1"), queued(1500)], NEED)[0]?.view.endpoint.id).equal(
       "1",
     );
   });
 
-  it("leaves out engines that are leaving, out, or were tried", () => {
+  it("excludes engines that are leaving, down, or were tried", () => {
     const leaving = fixtures.view("1", {
       endpoint: { ...fixtures.endpoint("1", "10.0.0.1:1"), leaving: true },
     });
-    const out = fixtures.view("2", { state: { ...fixtures.STATE, instance: "" } });
+    const down = fixtures.view("2", { state: { ...fixtures.STATE, instance: "" } });
     const need = { ...NEED, tried: new Set(["3"]) };
-    expect(choice.engines([leaving, out, fixtures.view("3")], need)).deep.equal([]);
+    expect(choice.engines([leaving, down, fixtures.view("3")], need)).deep.equal([]);
   });
 
-  it("uses an engine not heard of for what it held alone", () => {
+  it("uses an engine of unknown state only for the adapters that it held", () => {
     expect(choice.engines([fixtures.view("1", { state: undefined })], NEED)).deep.equal([]);
-    expect(choice.engines([holds("1", { state: undefined })], NEED)).length(1);
+    expect(choice.engines([withAdapter("1", { state: undefined })], NEED)).length(1);
   });
 
-  it("takes a plain service's endpoint with fewer requests and fewer failures", () => {
+  it("prefers a plain service's endpoint with fewer requests and fewer failures", () => {
     const need = { domain: "d1", tried: new Set<string>() };
     const busy = fixtures.view("1", { own: 4 });
     const failing = fixtures.view("2", { failing: 0.5 });
--- a/test/serving/fixtures.ts
+++ b/test/serving/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Small values and servers for the tests of routed requests.
+ * Sample values and servers for tests of routed requests.
  * @module
  */
 import * as http from "node:http";
@@ -41,7 +41,7 @@
   limits: { headerBytes: 4096, bodyBytes: 1000, headersMs: 2000, idleMs: 5000 },
 };
 
-/** A wire with headers of its own, so that the product is tested apart from any platform. */
+/** A protocol with its own headers, so that tests of the product don't depend on a platform. */
 export const WIRE: protocol.Protocol = {
   read: (h) => ({
     id: String(h["test-id"] ?? ""),
@@ -74,16 +74,17 @@
 };
 
 function number(value: string | readonly string[] | undefined): notices.Said<number> {
-  const said = text(value);
-  if (said === undefined) return notices.UNSAID;
-  const n = Number(said);
-  return Number.isNaN(n) ? { kind: "unreadable", text: said } : { kind: "said", value: n };
+  const header = text(value);
+  if (header === undefined) return notices.UNSAID;
+  const n = Number(header);
+  return Number.isNaN(n) ? { kind: "unreadable", text: header } : { kind: "said", value: n };
 }
 
 function text(value: string | readonly string[] | undefined): string | undefined {
   return typeof value === "string" ? value : value?.[0];
 }
 
+/** An endpoint of the sample service that is not leaving. */
 export function endpoint(id: string, address: string): catalog.Endpoint {
   return {
     id,
@@ -95,7 +96,7 @@
   };
 }
 
-/** An engine that has nothing to do. */
+/** The state of an idle engine. */
 export const STATE: seat.State = {
   kind: "state",
   instance: "x",
@@ -112,7 +113,7 @@
   silenceMs: 1000,
 };
 
-/** By which figures adapters get an engine's slots. */
+/** Options for the residency of adapters on an engine with `slots` slots. */
 export function residencyOf(slots: number): residency.Options {
   return {
     slots,
@@ -124,7 +125,7 @@
   };
 }
 
-/** An endpoint as an entry daemon knows it. */
+/** The view of an endpoint with an idle engine, except for the fields in `over`. */
 export function view(id: string, over: Partial<choice.View> = {}): choice.View {
   const { leaving } = over.endpoint ?? { leaving: false };
   return {
@@ -145,6 +146,7 @@
   };
 }
 
+/** A request for the sample service that arrives now, except for the fields in `over`. */
 export function request(over: Partial<ask.Ask> = {}): ask.Ask {
   const now = performance.now();
   return {
@@ -161,7 +163,7 @@
   };
 }
 
-/** A worker that answers each connection with raw bytes. */
+/** Starts a worker that answers the first data of each connection through the raw socket. */
 export async function rawWorker(answer: (socket: net.Socket) => void) {
   const server = net.createServer((socket) => {
     socket.on("error", () => undefined);
@@ -172,7 +174,7 @@
   return listen(server);
 }
 
-/** A worker that speaks HTTP. */
+/** Starts a worker that answers HTTP requests. */
 export async function worker(
   answer: (req: http.IncomingMessage, res: http.ServerResponse) => void,
 ) {
@@ -184,7 +186,7 @@
   );
 }
 
-/** The headers of a good answer to the request `id`. */
+/** The headers of a valid answer to the request `id`. */
 export function good(id = "r1"): Record<string, string> {
   return { "test-id": id, "test-signed": "1" };
 }
--- a/test/serving/incarnation.test.ts
+++ b/test/serving/incarnation.test.ts
@@ -12,21 +12,21 @@
 const { expect } = chai;
 
 const name = fc.string({ minLength: 1 });
-const born = fc.option(fc.nat(), { nil: undefined });
+const startTime = fc.option(fc.nat(), { nil: undefined });
 
-/** An entry of the worker `w` that started at `start`. */
+/** A catalog entry of the worker `w` that started at `start`. */
 function entry(start: number, leaving = false): catalog.Step {
   const endpoint = fixtures.endpoint(incarnation.idOf("w", start), "10.0.0.1:1");
   return { kind: "endpoint", endpoint: { ...endpoint, leaving } };
 }
 
-/** News of two starts of one worker: each ready, then leaving. */
-const NEWS = [entry(1), entry(1, true), entry(2), entry(2, true)];
+/** Entries of two incarnations of one worker: each ready, then leaving. */
+const UPDATES = [entry(1), entry(1, true), entry(2), entry(2, true)];
 
 describe("an incarnation", () => {
-  it("tells its worker and its start, whatever the worker's name is", () => {
+  it("has an id that gives its worker's name and start time, whatever the name is", () => {
     fc.assert(
-      fc.property(name, born, (worker, start) => {
+      fc.property(name, startTime, (worker, start) => {
         const id = incarnation.idOf(worker, start);
         expect(incarnation.workerOf(id)).equal(worker);
         expect(incarnation.bornOf(id)).equal(start);
@@ -34,7 +34,7 @@
     );
   });
 
-  it("is another with another start, and the same where a start is not told", () => {
+  it("differs by start time, and may be the same where a start time is not reported", () => {
     const [old, next] = [incarnation.idOf("w", 1), incarnation.idOf("w", 2)];
     expect(incarnation.isSame(old, next)).equal(false);
     expect(incarnation.isSame(old, "w")).equal(true);
@@ -48,14 +48,14 @@
 describe("a catalog", () => {
   it("never goes back to an older start, in whatever order entries come, late or twice", () => {
     fc.assert(
-      fc.property(fc.array(fc.nat(NEWS.length - 1), { minLength: 1 }), (order) => {
+      fc.property(fc.array(fc.nat(UPDATES.length - 1), { minLength: 1 }), (order) => {
         let at = catalog.EMPTY;
         let newest = 0;
         for (const n of order) {
-          const news = NEWS[n];
-          if (news?.kind !== "endpoint") continue;
-          at = catalog.step(at, news);
-          newest = Math.max(newest, incarnation.bornOf(news.endpoint.id) ?? 0);
+          const update = UPDATES[n];
+          if (update?.kind !== "endpoint") continue;
+          at = catalog.step(at, update);
+          newest = Math.max(newest, incarnation.bornOf(update.endpoint.id) ?? 0);
           expect(at.endpoints.size).equal(1);
           expect(at.endpoints.get("w")?.id).equal(incarnation.idOf("w", newest));
         }
@@ -63,7 +63,7 @@
     );
   });
 
-  it("takes a new start of a leaving worker as ready when it says so", () => {
+  it("uses a new incarnation of a leaving worker once its entry says that it is ready", () => {
     const left = catalog.steps(catalog.EMPTY, [entry(1), entry(1, true)]).at;
     const old = left.endpoints.get("w");
     const { at } = catalog.steps(left, [entry(2)]);
@@ -73,7 +73,7 @@
     expect(catalog.step(at, entry(1, true))).equal(at);
   });
 
-  it("uses no start whose entry is gone", () => {
+  it("does not use an incarnation whose entry was removed", () => {
     const there = catalog.step(catalog.EMPTY, entry(1));
     const old = there.endpoints.get("w");
     const at = catalog.step(there, { kind: "endpoint_gone", worker: "w" });
@@ -81,7 +81,7 @@
   });
 });
 
-describe("an engine that starts again under its name", () => {
+describe("an engine that restarts under its old name", () => {
   afterEach(engines.endAll);
 
   it("is met anew though its count of orders has not fallen, and holds what it then says", async () => {
@@ -91,7 +91,7 @@
     const first = s.link.ask(engines.wish("a"));
     expect(await first.answer).include({ kind: "grant" });
     first.over("whole");
-    // The new start has taken as many orders as the old one, and holds another adapter.
+    // The new incarnation has taken as many orders as the old one, and holds another adapter.
     s.engine.held.clear();
     s.engine.held.set("b", { version: 1, ready: true });
     s.engine.born = 2;
@@ -104,7 +104,7 @@
     expect(s.engine.most).most(2);
   });
 
-  it("is met anew when it begins to tell its start", async () => {
+  it("is recognized as new when it begins to report its start time", async () => {
     const s = await engines.site("i1", 2);
     s.engine.born = 7;
     await engines.until(() => s.link.state?.instance === incarnation.idOf("i1", 7));
@@ -113,7 +113,7 @@
 });
 
 describe("an entry daemon", () => {
-  it("uses a worker that starts again once its entry and its daemon name the same start", async () => {
+  it("uses a restarted worker once its entry and its endpoint daemon name the same start time", async () => {
     const [old, next] = [incarnation.idOf("w", 1), incarnation.idOf("w", 2)];
     const daemon = await telling.open(telling.state(old), telling.holdings("m/a"));
     let at: catalog.Catalog = { ...catalog.EMPTY, config: engines.configOf(2) };
@@ -133,13 +133,13 @@
       made.known.refresh();
       made.known.watch(old, () => lost++);
       await engines.until(() => usable().includes(`${old} resident`));
-      // Its daemon is the first to know of the new start.
+      // The endpoint daemon reports the new incarnation before the store does.
       daemon.tell(telling.state(next), telling.holdings());
       await engines.until(() => lost === 1);
       expect(usable()).deep.equal([]);
       at = catalog.step(at, entry(2));
       expect(usable()).deep.equal([`${next} absent`]);
-      // Late news of the old start, from the store and from its daemon.
+      // Late updates of the old incarnation, from the store and from its endpoint daemon.
       at = catalog.step(at, entry(1, true));
       expect(usable()).deep.equal([`${next} absent`]);
       daemon.tell(telling.state(old));
--- a/test/serving/moves.test.ts
+++ b/test/serving/moves.test.ts
@@ -26,7 +26,7 @@
     );
     const list = workers.map((w, i) => fixtures.endpoint(`i${i + 1}`, w.address));
     const { at, service } = engines.known(list);
-    // Other hosts use the only slot of each engine.
+    // Requests of another host occupy the only slot of each engine.
     const others = sites.map((s) => s.link.ask(engines.wish("other")));
     await Promise.all(others.map((o) => o.answer));
     const made = dispatching.open(at, (e) => sites[list.indexOf(e)]?.address ?? "");
@@ -35,18 +35,18 @@
     const { outlet, seen } = dispatching.recorded();
     const served = made.dispatcher.serve(dispatching.streamed(service, ROUTE, 4000), outlet);
     await engines.until(() => sites.some((s) => s.keeper.count() === 2));
-    // The engine where the request does not wait becomes free.
-    const free = sites.findIndex((s) => s.keeper.count() === 1);
-    others[free]?.over("whole");
+    // The slot of the engine where the request does not wait becomes free.
+    const freeIndex = sites.findIndex((s) => s.keeper.count() === 1);
+    others[freeIndex]?.over("whole");
     await served;
     expect(seen).deep.equal(["begin 200", "end"]);
-    expect([...(sites[free]?.engine.held.keys() ?? [])]).deep.equal(["a"]);
+    expect([...(sites[freeIndex]?.engine.held.keys() ?? [])]).deep.equal(["a"]);
     made.close();
     for (const w of workers) w.close();
   });
 });
 
-describe("a request whose time for a seat is over", () => {
+describe("a request that has waited too long for a seat", () => {
   afterEach(engines.endAll);
 
   it("is refused once, and asks no further engines", async () => {
@@ -95,7 +95,7 @@
     made.close();
     expect(refused).deep.equal([503]);
     expect(tookMs).below(900);
-    // Two engines may send it back and one holds it; a look for a better one may move it once.
+    // Two engines may turn it away, one queues it, and a comparison with other engines may move it once.
     expect(asks).most(4);
   });
 });
@@ -103,7 +103,7 @@
 describe("a link", () => {
   afterEach(engines.endAll);
 
-  it("forgets the state, but not the holdings, of a daemon that is away", async () => {
+  it("drops the state but keeps the holdings of a daemon that is disconnected", async () => {
     const s = await engines.site("i1", 2);
     const seat: link.Seat = s.link.ask(engines.wish("a"));
     await seat.answer;
@@ -114,12 +114,10 @@
   });
 
   /*
-   * What users saw: an adapter was refused at the only engine that had it, "full", until the daemons were
-   * restarted. An endpoint daemon stood still for 0.45 s with questions for seats before it. The entry daemon
-   * took it for silent, and sent the requests without seats; when it woke, it gave the seats, which nobody used
-   * and nobody gave back, so that the adapter's place counted as in use for good. Evidence: in the soak's run
-   * twelve seats were given at one moment, to requests that ended without a seat, and the adapter was neither
-   * unloaded nor given out for the 14 s that were left.
+   * Guards against seats that are never released. An endpoint daemon is suspended (for 0.45 s, say) while seat requests
+   * are pending. The entry daemon times out and sends the requests without seats. When the endpoint daemon resumes, it
+   * grants the seats, which nobody uses or releases. The adapter's slot then counts as in use for good: the adapter can
+   * be neither unloaded nor given out, and requests for it are denied as "full" until the daemons restart.
    */
   it("gives back a seat that it no longer waits for, since its daemon fell silent", async () => {
     const daemon = await telling.open(telling.state("i1"), telling.holdings());
--- a/test/serving/restarted.test.ts
+++ b/test/serving/restarted.test.ts
@@ -5,14 +5,14 @@
 
 const { expect } = chai;
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Closes the servers, connections and timers of the current test, also when it fails. */
+const cleanups: (() => void)[] = [];
 
-/** An entry daemon's connection, and the engines that it took for gone. */
+/** An entry daemon's connection to a fake endpoint daemon, and the engines that it reported as lost. */
 async function connected() {
   const daemon = await telling.open(telling.state("i1"), telling.holdings());
   const { made, lost } = links.open(daemon.address);
-  ends.push(() => {
+  cleanups.push(() => {
     made.close();
     daemon.close();
   });
@@ -20,16 +20,17 @@
   return { daemon, made, lost };
 }
 
-describe("an endpoint daemon that starts anew", () => {
+describe("an endpoint daemon that restarts", () => {
   afterEach(() => {
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
   /*
-   * What goes wrong: an endpoint daemon is killed and starts again beside a worker that goes on, and says that it knows no
-   * engine yet; while the store is away that lasts. Its engine was taken for gone, and what ran there was broken off.
+   * Guards against treating a running engine as lost. An endpoint daemon is killed and restarts while its worker keeps
+   * running. It reports no engine until it has found it, and it can't find it while the store is down. If the engine
+   * counted as lost in this time, the requests that run there would be aborted.
    */
-  it("does not make its engine one that is gone while it does not know it yet", async () => {
+  it("does not cause its engine to count as lost before it has found it", async () => {
     const { daemon, made, lost } = await connected();
     daemon.restart(telling.state(""));
     await engines.until(() => made.state?.instance === "");
@@ -38,7 +39,7 @@
     expect(lost).deep.equal([]);
   });
 
-  it("says that its engine is gone when it finds another one", async () => {
+  it("causes its old engine to count as lost when it reports another one", async () => {
     const { daemon, made, lost } = await connected();
     daemon.restart(telling.state(""));
     await engines.until(() => made.state?.instance === "");
@@ -47,20 +48,20 @@
     expect(lost).deep.equal(["i1"]);
   });
 
-  it("says so when it does not find it for long", async () => {
+  it("causes its engine to count as lost when it does not find it in time", async () => {
     const { daemon, lost } = await connected();
-    const talking = setInterval(() => {
+    const sending = setInterval(() => {
       daemon.tell(telling.state(""));
     }, 100);
-    ends.push(() => {
-      clearInterval(talking);
+    cleanups.push(() => {
+      clearInterval(sending);
     });
     daemon.restart(telling.state(""));
     await engines.until(() => lost.length > 0);
     expect(lost).deep.equal(["i1"]);
   });
 
-  it("says so at once when it knew it", async () => {
+  it("causes its engine to count as lost at once when it had reported it before", async () => {
     const { daemon, lost } = await connected();
     daemon.tell(telling.state(""));
     await engines.until(() => lost.length > 0);
