--- a/src/serving/endpoints.ts
+++ b/src/serving/endpoints.ts
@@ -55,18 +55,18 @@
  */
 const RELAY_TARGETS = 3;
 /**
- * Milliseconds for which a count of entry daemons is remembered. This is longer than most network partitions, and than
- * the windows of the limits that entry daemons share.
+ * Milliseconds for which a count of entry daemons is remembered. This is longer than most failures cut hosts off from
+ * one another, and than the windows of the limits that entry daemons share.
  */
 export const HOSTS_MS = 60_000;
 /** Maximum number of cached rings: those of a few services, each before and after an engine joined or left. */
 const MAX_RINGS = 8;
 
-/** The keepers found so far for the endpoints `of` and the configuration `config`. */
+/** The keepers found so far for the endpoints and the configuration of a catalog. */
 interface KeeperCache {
-  readonly of: catalog.Catalog["endpoints"];
+  readonly endpointMap: catalog.Catalog["endpoints"];
   readonly config: catalog.Config | undefined;
-  readonly at: fleet.Arrangement;
+  readonly layout: fleet.Arrangement;
   /** Addresses of endpoint daemons by key, the preferred keeper first. */
   readonly byKey: Map<string, readonly string[]>;
 }
@@ -109,9 +109,9 @@
   private readonly availabilityWatchers = new Set<() => void>();
   /** Cached keepers; replaced when the endpoints or the configuration change. */
   private keeperCache: KeeperCache = {
-    of: new Map(),
+    endpointMap: new Map(),
     config: undefined,
-    at: EMPTY_LAYOUT,
+    layout: EMPTY_LAYOUT,
     byKey: new Map(),
   };
   /** Engines that have no connection yet, by the address of their endpoint daemon. */
@@ -299,15 +299,20 @@
   keepers(key: string, n: number): readonly link.Link[] {
     const { config, endpoints } = this.deps.catalog();
     const services = [...(config?.services.values() ?? [])].filter((s) => s.engine);
-    if (this.keeperCache.of !== endpoints || this.keeperCache.config !== config) {
+    if (this.keeperCache.endpointMap !== endpoints || this.keeperCache.config !== config) {
       const list = services.flatMap((s) => catalog.endpointsOf(this.deps.catalog(), s));
-      this.keeperCache = { of: endpoints, config, at: this.layoutOf(list), byKey: new Map() };
+      this.keeperCache = {
+        endpointMap: endpoints,
+        config,
+        layout: this.layoutOf(list),
+        byKey: new Map(),
+      };
     }
-    const { at, byKey } = this.keeperCache;
-    const daemons = byKey.get(key) ?? ring.successors(at.ring, key, n, n).map((p) => p.name);
+    const { layout, byKey } = this.keeperCache;
+    const daemons = byKey.get(key) ?? ring.successors(layout.ring, key, n, n).map((p) => p.name);
     byKey.set(key, daemons);
     return daemons.flatMap((address) => {
-      const [e] = at.at.get(address) ?? [];
+      const [e] = layout.at.get(address) ?? [];
       return e ? [this.link(e)] : [];
     });
   }
--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -29,17 +29,17 @@
   daemonOf: (e: catalog.Endpoint) => string,
   cachedRings: readonly ring.Ring[],
 ): Arrangement {
-  const at = new Map<string, readonly catalog.Endpoint[]>();
+  const endpointsAt = new Map<string, readonly catalog.Endpoint[]>();
   for (const e of list) {
     const address = daemonOf(e);
-    at.set(address, [...(at.get(address) ?? []), e]);
+    endpointsAt.set(address, [...(endpointsAt.get(address) ?? []), e]);
   }
   const cached = cachedRings.find(
-    (r) => r.places.length === at.size && r.places.every((p) => at.has(p.name)),
+    (r) => r.places.length === endpointsAt.size && r.places.every((p) => endpointsAt.has(p.name)),
   );
-  if (cached) return { at, ring: cached };
-  const places = [...at].map(([name, [e]]) => ({ name, failureDomain: e?.domain ?? "" }));
-  return { at, ring: ring.build(places) };
+  if (cached) return { at: endpointsAt, ring: cached };
+  const places = [...endpointsAt].map(([name, [e]]) => ({ name, failureDomain: e?.domain ?? "" }));
+  return { at: endpointsAt, ring: ring.build(places) };
 }
 
 /** The views of the engines in a layout, for a search. `adapters` tells which engines have an adapter. */
--- a/src/serving/seeker.ts
+++ b/src/serving/seeker.ts
@@ -81,11 +81,11 @@
     for (;;) {
       const best = this.candidates(a, p)[0];
       if (best || signal.aborted) return best;
-      const coming = this.deps.endpoints.coming(a.service);
-      const waitsUntil = p.waitsFrom + admission.absentMs(timesOf(a, p.waitsFrom), coming);
+      const isStarting = this.deps.endpoints.coming(a.service);
+      const waitsUntil = p.waitsFrom + admission.absentMs(timesOf(a, p.waitsFrom), isStarting);
       const leftMs = Math.min(a.dueAt, waitsUntil) - this.deps.clock.mono();
       const opening = this.deps.endpoints.opens(a.service);
-      if (opening && !coming && opening.inMs > leftMs) {
+      if (opening && !isStarting && opening.inMs > leftMs) {
         p.opensInMs = admission.returnMs(opening.inMs, this.deps.random());
         p.closedBy = opening.reason;
         p.why = ALL_CLOSED;
