--- a/src/serving/endpoints.ts
+++ b/src/serving/endpoints.ts
@@ -62,12 +62,12 @@
 /** Maximum number of cached rings: those of a few services, each before and after an engine joined or left. */
 const MAX_RINGS = 8;
 
-/** The keepers found so far for the endpoints and the configuration of a catalog. */
-interface KeeperCache {
+/** The owner candidates found so far for the endpoints and the configuration of a catalog. */
+interface OwnerCache {
   readonly endpointMap: catalog.Catalog["endpoints"];
   readonly config: catalog.Config | undefined;
   readonly layout: fleet.Arrangement;
-  /** Addresses of endpoint daemons by key, the preferred keeper first. */
+  /** Addresses of endpoint daemons by key, the preferred owner first. */
   readonly byKey: Map<string, readonly string[]>;
 }
 
@@ -107,8 +107,8 @@
   private readonly layouts = new WeakMap<readonly catalog.Endpoint[], fleet.Arrangement>();
   private rings: readonly ring.Ring[] = [];
   private readonly availabilityWatchers = new Set<() => void>();
-  /** Cached keepers; replaced when the endpoints or the configuration change. */
-  private keeperCache: KeeperCache = {
+  /** Cached owner candidates; replaced when the endpoints or the configuration change. */
+  private ownerCache: OwnerCache = {
     endpointMap: new Map(),
     config: undefined,
     layout: EMPTY_LAYOUT,
@@ -293,22 +293,22 @@
   }
 
   /**
-   * Connections to up to `n` endpoint daemons that keep the shared state of `key`, the preferred one first. All hosts
+   * Connections to up to `n` endpoint daemons that may own the shared state of `key`, the preferred one first. All hosts
    * that know the same engines get the same list.
    */
   keepers(key: string, n: number): readonly link.Link[] {
     const { config, endpoints } = this.deps.catalog();
     const services = [...(config?.services.values() ?? [])].filter((s) => s.engine);
-    if (this.keeperCache.endpointMap !== endpoints || this.keeperCache.config !== config) {
+    if (this.ownerCache.endpointMap !== endpoints || this.ownerCache.config !== config) {
       const list = services.flatMap((s) => catalog.endpointsOf(this.deps.catalog(), s));
-      this.keeperCache = {
+      this.ownerCache = {
         endpointMap: endpoints,
         config,
         layout: this.layoutOf(list),
         byKey: new Map(),
       };
     }
-    const { layout, byKey } = this.keeperCache;
+    const { layout, byKey } = this.ownerCache;
     const daemons = byKey.get(key) ?? ring.successors(layout.ring, key, n, n).map((p) => p.name);
     byKey.set(key, daemons);
     return daemons.flatMap((address) => {
@@ -318,14 +318,14 @@
   }
 
   /**
-   * Connections to the endpoint daemons that announce a worker's limit to all hosts: those that may keep it, and the
+   * Connections to the endpoint daemons that announce a worker's limit to all hosts: those that may own it, and the
    * one beside the worker, from which each host requests a seat before it sends there.
    */
   tellers(id: string): readonly link.Link[] {
-    const keepers = this.keepers(limiter.placeKey(limiter.workerKey(id)), limiter.PLACES);
+    const owners = this.keepers(limiter.placeKey(limiter.workerKey(id)), limiter.PLACES);
     const e = this.deps.catalog().endpoints.get(incarnation.workerOf(id));
     const besideWorker = e && this.links.get(this.deps.daemonOf(e));
-    return [...new Set([...keepers, ...(besideWorker ? [besideWorker] : [])])];
+    return [...new Set([...owners, ...(besideWorker ? [besideWorker] : [])])];
   }
 
   /** Sends a message to a few of the connected endpoint daemons, for the same key to the same ones. */
