--- a/src/serving/ask.ts
+++ b/src/serving/ask.ts
@@ -1,5 +1,5 @@
 /**
- * One caller's request, in the product's terms.
+ * One caller's request, parsed into the product's terms.
  * @module
  */
 import type * as catalog from "./catalog.js";
@@ -7,53 +7,54 @@
 /** The model and adapter that a request names. */
 export interface Target {
   readonly model: string;
-  /** Left out for the base model itself. */
+  /** Undefined for a request to the base model itself. */
   readonly adapter?: string | undefined;
 }
 
-/** One shared part of a prompt. */
+/** One part of a prompt that other requests may share. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What the headers of a request say. */
+/** Fields read from the headers of a request. */
 export interface Meta {
-  /** Names one attempt of the caller; the endpoint's answer repeats it. */
+  /** Id of one attempt of the caller; the endpoint's answer repeats it. */
   readonly id: string;
-  /** Milliseconds that the caller will wait; Infinity when it does not say. */
+  /** Milliseconds that the caller will wait; Infinity if it does not say. */
   readonly waitMs: number;
   readonly target?: Target | undefined;
   readonly promptTokens: number;
   readonly answerTokens: number;
   readonly parts: readonly PromptPart[];
-  /** Id of the last event that the caller has of this stream. */
+  /** Id of the last event of this stream that the caller already has. */
   readonly resumeAfter?: string | undefined;
 }
 
-/** Who asks, on a route that asks for a key. */
+/** Authenticated sender of a request, on a route that requires a key. */
 export interface Caller {
   readonly team: catalog.Team;
-  /** SHA-256 of its key, in hex. */
+  /** SHA-256 of the caller's key, in hex. */
   readonly digest: string;
-  /** What the request counts against its team's cap; 0 without one. */
+  /** Units that the request counts against its team's cap; 0 if the team has none. */
   readonly units: number;
 }
 
-/** A request that was read whole and matched to a route. */
+/** A request that was read completely and matched to a route. */
 export interface Ask {
   readonly meta: Meta;
   readonly route: catalog.Route;
   readonly service: catalog.Service;
-  /** Undefined where the route asks for no key. */
+  /** Undefined if the route requires no key. */
   readonly caller?: Caller | undefined;
   readonly method: string;
-  /** Path and query as they came. */
+  /** Path and query as received. */
   readonly path: string;
-  /** Headers to pass on, in their order, without those of one connection. */
+  /** Headers to forward, in their order, without hop-by-hop headers. */
   readonly headers: Readonly<Record<string, string | readonly string[]>>;
   readonly body: Buffer;
-  /** Monotonic ms at which the request arrived, and by which it must be answered. */
+  /** Monotonic ms at which the request arrived. */
   readonly arrivedAt: number;
+  /** Monotonic ms of the deadline for the answer. */
   readonly dueAt: number;
 }
--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * The task of one request: finds an endpoint for it, asks for all that a send there needs, and goes to a
- * further endpoint only where that is allowed and safe.
+ * Dispatches one request: chooses an endpoint, acquires the permit and the seat that a send to it needs, and tries another
+ * endpoint only when a retry is allowed and safe.
  * @module
  */
 import type * as record from "../host/record.js";
@@ -28,21 +28,24 @@
   readonly log: record.Log;
   readonly meters: meters.Meters;
   readonly upstream: upstream.Upstream;
-  /** Milliseconds since the catalog was as new as the store. */
+  /** Milliseconds since the catalog was last known to be up to date with the store. */
   readonly newsAgeMs: () => number;
   readonly suspects: suspects.Suspects;
   readonly notices: workerNotices.WorkerNotices;
-  /** Whether a request that was let in may still be sent, by its key. */
+  /** Checks again whether the key of an admitted request still authorizes it. */
   readonly authenticate: sendChecks.Deps["authenticate"];
 }
 
-/** Milliseconds left below which a further send makes no sense. */
-const LEAST_MS = 20;
-/** Times that a request is withheld from a worker that was chosen for it. */
-const WITHHELD = 6;
+/** Least milliseconds before the deadline with which another send is tried. */
+const MIN_REMAINING_MS = 20;
+/** Times that one request may be withheld from a worker chosen for it; beyond that it is given up. */
+const MAX_WITHHELD = 6;
+/** Verdict for a request that was admitted earlier. */
 const SERVE: admission.Verdict = { kind: "serve" };
+/** Result of the search for a seat where the service has no engines and so needs none. */
 const SEATLESS: seeker.Found = { kind: "seatless" };
 
+/** Dispatches the requests of one entry daemon. */
 export class Dispatch {
   private readonly budget: retries.Budget;
   private readonly checks: sendChecks.SendChecks;
@@ -59,7 +62,7 @@
     this.sender = new sending.Sender({ ...deps, checks: this.checks });
   }
 
-  /** The process is to stop, and serves what it has to the end. */
+  /** Prepares for a graceful shutdown: requests in flight are still served to their end. */
   leave(): void {
     this.budget.leave();
   }
@@ -68,127 +71,132 @@
     this.budget.close();
   }
 
-  /** Serves one request to its end; whether it ran, or may have run, anywhere. */
-  async serve(a: ask.Ask, out: progress.Outlet): Promise<boolean> {
+  /** Serves one request to its end. Resolves to whether it ran, or may have run, at any endpoint. */
+  async serve(req: ask.Ask, res: progress.Outlet): Promise<boolean> {
     const now = this.deps.clock.mono();
-    this.budget.request(a.service.name);
-    const p = progress.start(a);
-    const cut = new AbortController();
+    this.budget.request(req.service.name);
+    const p = progress.start(req);
+    const stopping = new AbortController();
     const stop = (): void => {
-      cut.abort();
+      stopping.abort();
     };
-    out.gone.addEventListener("abort", stop, { once: true });
-    const timer = this.deps.clock.after(Math.max(0, a.dueAt - now), stop);
-    let end: progress.Ending = "failed";
+    res.gone.addEventListener("abort", stop, { once: true });
+    const timer = this.deps.clock.after(Math.max(0, req.dueAt - now), stop);
+    let outcome: progress.Ending = "failed";
     try {
-      end = await this.attempts(a, out, p, cut.signal);
+      outcome = await this.tryEndpoints(req, res, p, stopping.signal);
     } finally {
       timer.cancel();
-      out.gone.removeEventListener("abort", stop);
-      this.tell(a, p, end);
+      res.gone.removeEventListener("abort", stop);
+      this.reportEnd(req, p, outcome);
     }
     return p.runs > 0;
   }
 
-  private tell(a: ask.Ask, p: progress.Progress, end: progress.Ending): void {
+  /** Records the end of a request in the metrics and the log. */
+  private reportEnd(req: ask.Ask, p: progress.Progress, outcome: progress.Ending): void {
     const now = this.deps.clock.mono();
-    const firstMs = p.firstAt === undefined ? undefined : Math.round(p.firstAt - a.arrivedAt);
-    const tookMs = Math.round(now - a.arrivedAt);
-    this.deps.meters.request(a.route.name, end, firstMs, tookMs);
-    if (p.closedBy && end === "refused") {
-      this.deps.meters.noticed(a.service.name, p.closedBy, "refused");
+    const firstMs = p.firstAt === undefined ? undefined : Math.round(p.firstAt - req.arrivedAt);
+    const tookMs = Math.round(now - req.arrivedAt);
+    this.deps.meters.request(req.route.name, outcome, firstMs, tookMs);
+    if (p.closedBy && outcome === "refused") {
+      this.deps.meters.noticed(req.service.name, p.closedBy, "refused");
     }
     this.deps.log.info("A request is over.", {
-      request: a.meta.id,
-      route: a.route.name,
-      team: a.caller?.team.name,
-      units: a.caller?.units,
-      ending: end,
+      request: req.meta.id,
+      route: req.route.name,
+      team: req.caller?.team.name,
+      units: req.caller?.units,
+      ending: outcome,
       endpoint: p.endpoint,
       sends: p.sends,
       runs: p.runs,
-      targetMs: a.route.targetMs,
+      targetMs: req.route.targetMs,
       expectedMs: p.expectedMs,
       newsMs: p.newsMs,
       firstMs,
       tookMs,
-      why: end === "whole" ? undefined : p.why,
+      why: outcome === "whole" ? undefined : p.why,
     });
   }
 
-  private async attempts(
-    a: ask.Ask,
-    out: progress.Outlet,
+  /** Tries one endpoint after the other until the request has ended. */
+  private async tryEndpoints(
+    req: ask.Ask,
+    res: progress.Outlet,
     p: progress.Progress,
-    cut: AbortSignal,
+    stopSignal: AbortSignal,
   ): Promise<progress.Ending> {
     for (;;) {
-      if (out.gone.aborted) return "left";
-      const left = a.dueAt - this.deps.clock.mono();
-      if (left < LEAST_MS) return this.giveUp(a, out, p, true);
-      if (p.runs > 0 && p.runs >= a.route.attempts) return this.giveUp(a, out, p, false);
-      if (p.withheld > WITHHELD) return this.giveUp(a, out, p, false);
-      if (p.sends >= sending.SENDS) return this.giveUp(a, out, p, false);
-      if (this.checks.isQuarantined(a, p)) return this.giveUp(a, out, p, false);
-      const best = await this.seeker.pick(a, p, cut);
-      if (!best) return this.giveUp(a, out, p, false);
-      // Asked for a seat now, it would be denied at once by each engine in turn.
-      if (a.service.engine && this.seeker.heldMs(a, p) < LEAST_MS) {
+      if (res.gone.aborted) return "left";
+      const remainingMs = req.dueAt - this.deps.clock.mono();
+      if (remainingMs < MIN_REMAINING_MS) return this.giveUp(req, res, p, true);
+      if (p.runs > 0 && p.runs >= req.route.attempts) return this.giveUp(req, res, p, false);
+      if (p.withheld > MAX_WITHHELD) return this.giveUp(req, res, p, false);
+      if (p.sends >= sending.SENDS) return this.giveUp(req, res, p, false);
+      if (this.checks.isQuarantined(req, p)) return this.giveUp(req, res, p, false);
+      const best = await this.seeker.pick(req, p, stopSignal);
+      if (!best) return this.giveUp(req, res, p, false);
+      // With so little time left to wait for a seat, each engine would deny it at once.
+      if (req.service.engine && this.seeker.heldMs(req, p) < MIN_REMAINING_MS) {
         p.comeBackMs = best.firstMs - best.ownMs;
-        return this.giveUp(a, out, p, false);
+        return this.giveUp(req, res, p, false);
       }
       p.expectedMs ??= Math.round(best.firstMs);
-      // Judged once: what was let in and waited is not turned away for what came after it.
-      const verdict = p.judged ? SERVE : this.seeker.judge(a, best);
+      // Admission is decided once: a request that was admitted and has waited is not refused because of later arrivals.
+      const verdict = p.judged ? SERVE : this.seeker.judge(req, best);
       if (verdict.kind === "refuse") {
         p.comeBackMs = verdict.comeBackMs;
         p.why = verdict.why;
-        return this.giveUp(a, out, p, false);
+        return this.giveUp(req, res, p, false);
       }
-      const permit = await this.permitFor(a, p, best.view, cut);
+      const permit = await this.acquirePermit(req, p, best.view, stopSignal);
       if (!permit) continue;
-      const found = a.service.engine ? await this.seeker.seat(a, best, p, cut) : SEATLESS;
+      const found = req.service.engine
+        ? await this.seeker.seat(req, best, p, stopSignal)
+        : SEATLESS;
       p.judged ||= found.kind !== "diverted";
       if (found.kind === "diverted" || found.kind === "elsewhere") {
         permit.giveBack();
-        if (!this.checks.takes(best.view.endpoint)) this.checks.turned(a, p, best.view.endpoint);
+        if (!this.checks.takes(best.view.endpoint)) this.checks.turned(req, p, best.view.endpoint);
         continue;
       }
       const seat = found.kind === "seat" ? found.seat : undefined;
-      const end = await this.sender.send(a, out, p, best, { seat, permit }, cut);
-      if (end) return end;
+      const outcome = await this.sender.send(req, res, p, best, { seat, permit }, stopSignal);
+      if (outcome) return outcome;
     }
   }
 
   /**
-   * A permit to send to an endpoint under the limit that it names, once its turn has come; undefined where it lets nothing
-   * more in for now.
+   * Acquires a permit under the request limit that the endpoint has announced, waiting for it if needed; undefined if the
+   * endpoint accepts no more requests for now.
    */
-  private async permitFor(
-    a: ask.Ask,
+  private async acquirePermit(
+    req: ask.Ask,
     p: progress.Progress,
     { endpoint }: choice.View,
-    cut: AbortSignal,
+    stopSignal: AbortSignal,
   ): Promise<workerNotices.Granted | undefined> {
     const permit = await this.deps.notices.admit(endpoint);
     if (permit.kind === "out") {
       p.comeBackMs = permit.waitMs;
-      this.checks.turned(a, p, endpoint, permit.waitMs);
+      this.checks.turned(req, p, endpoint, permit.waitMs);
       return undefined;
     }
-    if (permit.delayMs > 0) await clock.sleep(this.deps.clock, permit.delayMs, cut);
-    if (!cut.aborted && permit.isGood()) return permit;
-    this.checks.turned(a, p, endpoint);
+    if (permit.delayMs > 0) await clock.sleep(this.deps.clock, permit.delayMs, stopSignal);
+    if (!stopSignal.aborted && permit.isGood()) return permit;
+    this.checks.turned(req, p, endpoint);
     permit.giveBack();
     return undefined;
   }
 
+  /** Sends the caller the final answer to a request that is given up. */
   private giveUp(
-    a: ask.Ask,
-    out: progress.Outlet,
+    req: ask.Ask,
+    res: progress.Outlet,
     p: progress.Progress,
-    late: boolean,
+    deadlinePassed: boolean,
   ): progress.Ending {
-    return ending.giveUp(this.deps.clock, a, out, p, late);
+    return ending.giveUp(this.deps.clock, req, res, p, deadlinePassed);
   }
 }
--- a/src/serving/ending.ts
+++ b/src/serving/ending.ts
@@ -1,5 +1,5 @@
 /**
- * The final answer to a request that is given up: it says no more than is certain of the request.
+ * Final answers to requests that are given up. An answer claims no more than is certain about the request.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -9,30 +9,30 @@
 
 const UNAVAILABLE = 503;
 
-/** Ends a request that is given up; `late`: since its time is over. */
+/** Gives a request up; `deadlinePassed` says that its deadline is the cause. */
 export function giveUp(
   clk: clock.Clock,
-  a: ask.Ask,
-  out: progress.Outlet,
+  req: ask.Ask,
+  res: progress.Outlet,
   p: progress.Progress,
-  late: boolean,
+  deadlinePassed: boolean,
 ): progress.Ending {
-  if (out.gone.aborted) return "left";
+  if (res.gone.aborted) return "left";
   if (p.begun) {
-    out.breakOff();
+    res.breakOff();
     return "broken";
   }
   if (p.runs > 0) {
-    out.refuse(late ? 504 : 502, p.why);
-    return late ? "late" : "unknown";
+    res.refuse(deadlinePassed ? 504 : 502, p.why);
+    return deadlinePassed ? "late" : "unknown";
   }
   if (p.refusal !== UNAVAILABLE) {
-    out.refuse(p.refusal, p.why);
+    res.refuse(p.refusal, p.why);
     return "refused";
   }
-  // What is known is told as it is, also where it is later than the caller can wait.
+  // A known time is told as it is, even if it lies beyond the caller's deadline.
   const knownMs = p.releaseMs ?? p.opensInMs;
-  const comeBackMs = knownMs ?? admission.comeBack(p.comeBackMs, a.dueAt - clk.mono());
-  out.refuse(UNAVAILABLE, p.why, comeBackMs);
+  const retryAfterMs = knownMs ?? admission.comeBack(p.comeBackMs, req.dueAt - clk.mono());
+  res.refuse(UNAVAILABLE, p.why, retryAfterMs);
   return "refused";
 }
--- a/src/serving/events.ts
+++ b/src/serving/events.ts
@@ -1,58 +1,58 @@
 /**
- * Cuts a stream of events into whole events, so that a stream that breaks off in the middle of one
- * can go on at another endpoint with nothing missing and nothing twice.
+ * Splits a stream of server-sent events into whole events, so that a stream that breaks off within an event can be resumed
+ * at another endpoint without lost or repeated events.
  * @module
  */
 
-/** Bytes of one event at most; anything longer is passed on uncut. */
-const EVENT_LIMIT = 1_048_576;
+/** Most bytes of one event that are held back; anything longer is passed on unsplit. */
+const MAX_EVENT_BYTES = 1_048_576;
 const LF = 0x0a;
 const CR = 0x0d;
 const ID_LINE = "id:";
 
-/** One whole event as it came, with its id if it names one. */
+/** One whole event as received, with its id if it has one. */
 export interface Event {
   readonly bytes: Buffer;
   readonly id: string | undefined;
 }
 
-/** Holds the beginning of the event that is still to come whole. */
+/** Splits chunks into events; keeps the beginning of an event that is still incomplete. */
 export class Cutter {
-  private rest: Buffer = Buffer.alloc(0);
+  private partial: Buffer = Buffer.alloc(0);
 
-  /** The events that are whole with `chunk`. */
+  /** Adds a chunk and returns the events that it completes. */
   take(chunk: Buffer): readonly Event[] {
-    let at = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    const out: Event[] = [];
-    for (let end = endOf(at); end > 0; end = endOf(at)) {
-      const bytes = at.subarray(0, end);
-      out.push({ bytes, id: idOf(bytes) });
-      at = at.subarray(end);
+    let unread = this.partial.length === 0 ? chunk : Buffer.concat([this.partial, chunk]);
+    const events: Event[] = [];
+    for (let end = eventEnd(unread); end > 0; end = eventEnd(unread)) {
+      const bytes = unread.subarray(0, end);
+      events.push({ bytes, id: idOf(bytes) });
+      unread = unread.subarray(end);
     }
-    if (at.length > EVENT_LIMIT) {
-      out.push({ bytes: at, id: undefined });
-      at = Buffer.alloc(0);
+    if (unread.length > MAX_EVENT_BYTES) {
+      events.push({ bytes: unread, id: undefined });
+      unread = Buffer.alloc(0);
     }
-    this.rest = at;
-    return out;
+    this.partial = unread;
+    return events;
   }
 
   /** Bytes after the last whole event. */
   tail(): Buffer {
-    return this.rest;
+    return this.partial;
   }
 }
 
-/** Where the first event ends, with the blank line that ends it; 0 when it is not whole. */
-function endOf(b: Buffer): number {
-  for (let i = b.indexOf(LF); i >= 0; i = b.indexOf(LF, i + 1)) {
-    if (b[i + 1] === LF) return i + 2;
-    if (b[i + 1] === CR && b[i + 2] === LF) return i + 3;
+/** Offset after the first event and the blank line that ends it; 0 if the event is incomplete. */
+function eventEnd(bytes: Buffer): number {
+  for (let i = bytes.indexOf(LF); i >= 0; i = bytes.indexOf(LF, i + 1)) {
+    if (bytes[i + 1] === LF) return i + 2;
+    if (bytes[i + 1] === CR && bytes[i + 2] === LF) return i + 3;
   }
   return 0;
 }
 
-/** The id that an event names; most name it in their first line, which is read without the others. */
+/** Id of an event. Most events have it in their first line, so that line is read without parsing the others. */
 function idOf(event: Buffer): string | undefined {
   if (event.indexOf(ID_LINE) === 0) {
     const end = event.indexOf(LF);
--- a/src/serving/exchange.ts
+++ b/src/serving/exchange.ts
@@ -1,83 +1,84 @@
 /**
- * One request to an endpoint and its answer, on the bare events of the HTTP client: an answer's parts go
- * from the socket to whoever takes them without a stream in between, which for answers of many small
- * events costs more than all the rest.
+ * One request to an endpoint and its answer, built on the HTTP client's low-level events. The chunks of an answer go from
+ * the socket to their consumer without a Node.js stream in between, which for answers of many small events would cost more
+ * than everything else.
  * @module
  */
 import type * as undici from "undici";
 import type * as headers from "./headers.js";
 
-/** Takes one part of a body; a promise holds the sender back until it resolves. */
-export type Take = (part: Buffer) => Promise<void> | undefined;
+/** Consumes one chunk of a body; a returned promise pauses the sender until it resolves. */
+export type Take = (chunk: Buffer) => Promise<void> | undefined;
 
-/** The head of an answer. */
+/** Status and headers of an answer. */
 export interface Head {
   readonly status: number;
   readonly headers: headers.Headers;
 }
 
-/** The body of an answer, to be taken once. */
+/** The body of an answer, which can be read once. */
 export interface Body {
-  /** Hands each part over as it comes; resolves at the end, and rejects when the answer is cut. */
-  readonly pump: (take: Take) => Promise<void>;
-  /** Gives the answer up, and its connection with it. */
+  /** Passes each chunk on as it arrives; resolves at the end, and rejects if the answer breaks off. */
+  readonly pump: (onChunk: Take) => Promise<void>;
+  /** Gives the answer up and closes its connection. */
   readonly drop: () => void;
 }
 
-/** Why an exchange ends that its own side gave up. */
+/** Error message of an exchange that this side gave up. */
 const GIVEN_UP = "the request was given up";
 
-/** What may withhold a request until its first byte is written. */
+/** Decides whether a request is withheld; it can be until its first byte is written. */
 export interface Gate {
-  /** Whether it may be written; asked once a connection is there, right before. */
+  /** Whether the request may be written; called right before that, when a connection is ready. */
   readonly mayStart: () => boolean;
-  /** Calls `tell` when it is not to be written any more; returns what takes that back. */
-  readonly whenClosed: (tell: () => void) => () => void;
+  /** Registers `callback` for when the request must no longer be written; returns the function that unregisters it. */
+  readonly whenClosed: (callback: () => void) => () => void;
 }
 
-/** The gate of a request that nothing withholds. */
+/** Gate of a request that is never withheld. */
 export const OPEN: Gate = { mayStart: () => true, whenClosed: () => () => undefined };
 
-/** A request was withheld before its first byte was written. */
+/** Error of a request that its gate withheld before its first byte was written. */
 export class WithheldError extends Error {
   constructor() {
     super("the request was withheld");
   }
 }
 
+/** A request and its answer, as handler of the HTTP client's events. */
 export class Exchange implements undici.Dispatcher.DispatchHandler, Body {
   private controller: undici.Dispatcher.DispatchController | undefined;
-  private take: Take | undefined;
-  /** Parts that came before anybody took them. */
-  private early: Buffer[] = [];
-  private over: { readonly err: Error | undefined } | undefined;
+  private onChunk: Take | undefined;
+  /** Chunks that arrived before the body was read. */
+  private buffered: Buffer[] = [];
+  private ended: { readonly err: Error | undefined } | undefined;
   private resolveHead: (head: Head) => void = () => undefined;
   private rejectHead: (err: Error) => void = () => undefined;
-  private finish: ((err: Error | undefined) => void) | undefined;
+  private settlePump: ((err: Error | undefined) => void) | undefined;
   private started = false;
-  private readonly stop = (): void => {
+  private readonly onAbort = (): void => {
     this.drop();
   };
 
-  /** Resolves once the head of the answer came; rejects when there is none. */
+  /** Resolves when the head of the answer arrives; rejects if there is none. */
   readonly head: Promise<Head>;
 
-  private readonly forget: () => void;
+  private readonly unsubscribe: () => void;
 
   /** An abort of `signal` closes the connection, so that the endpoint stops. */
   constructor(
     private readonly signal: AbortSignal,
     private readonly gate: Gate,
   ) {
-    this.forget = gate.whenClosed(() => {
-      this.end(new WithheldError());
+    this.unsubscribe = gate.whenClosed(() => {
+      this.settle(new WithheldError());
     });
     this.head = new Promise((resolve, reject) => {
       this.resolveHead = resolve;
       this.rejectHead = reject;
     });
-    if (signal.aborted) this.end(new Error(GIVEN_UP));
-    else signal.addEventListener("abort", this.stop, { once: true });
+    if (signal.aborted) this.settle(new Error(GIVEN_UP));
+    else signal.addEventListener("abort", this.onAbort, { once: true });
   }
 
   /** Whether anything of the request may have been written. */
@@ -85,11 +86,11 @@
     return this.started;
   }
 
-  /** Throws where the request is not to be written; its connection is used for the next one. */
+  /** Throws if the request must not be written; its connection is then used for the next request. */
   onRequestStart(controller: undici.Dispatcher.DispatchController): void {
-    if (this.over) throw new Error(GIVEN_UP);
+    if (this.ended) throw new Error(GIVEN_UP);
     if (!this.gate.mayStart()) throw new WithheldError();
-    this.forget();
+    this.unsubscribe();
     this.controller = controller;
     this.started = true;
   }
@@ -101,79 +102,81 @@
   ): void {
     const isFinal = status >= 200;
     if (!isFinal) return;
-    // Until the head was judged nothing is read on, so that a connection in doubt can still be closed.
+    // Nothing more is read until the head has been checked, so that a connection in doubt can still be closed.
     controller.pause();
     this.resolveHead({ status, headers: received });
   }
 
-  onResponseData(controller: undici.Dispatcher.DispatchController, part: Buffer): void {
-    if (this.take) this.pass(this.take, part, controller);
-    else this.early.push(part);
+  onResponseData(controller: undici.Dispatcher.DispatchController, chunk: Buffer): void {
+    if (this.onChunk) this.deliver(this.onChunk, chunk, controller);
+    else this.buffered.push(chunk);
   }
 
   onResponseEnd(): void {
-    this.end(undefined);
+    this.settle(undefined);
   }
 
   onResponseError(_controller: undici.Dispatcher.DispatchController, err: Error): void {
-    this.end(err);
+    this.settle(err);
   }
 
-  pump(take: Take): Promise<void> {
+  pump(onChunk: Take): Promise<void> {
     return new Promise((resolve, reject) => {
-      this.finish = (err) => {
+      this.settlePump = (err) => {
         if (err) reject(err);
         else resolve();
       };
-      this.take = take;
+      this.onChunk = onChunk;
       this.controller?.resume();
-      for (const part of this.early.splice(0)) this.pass(take, part, this.controller);
-      if (this.over) this.finish(this.over.err);
+      for (const chunk of this.buffered.splice(0)) this.deliver(onChunk, chunk, this.controller);
+      if (this.ended) this.settlePump(this.ended.err);
     });
   }
 
   drop(): void {
-    this.end(new Error(GIVEN_UP));
+    this.settle(new Error(GIVEN_UP));
     this.controller?.abort(new Error(GIVEN_UP));
   }
 
-  private pass(
-    take: Take,
-    part: Buffer,
+  /** Passes a chunk on, and pauses the connection while the consumer is busy. */
+  private deliver(
+    onChunk: Take,
+    chunk: Buffer,
     controller: undici.Dispatcher.DispatchController | undefined,
   ): void {
-    const room = take(part);
-    if (!room) return;
+    const drained = onChunk(chunk);
+    if (!drained) return;
     controller?.pause();
-    void room.then(() => {
+    void drained.then(() => {
       controller?.resume();
     });
   }
 
-  private end(err: Error | undefined): void {
-    if (this.over) return;
-    this.over = { err };
-    this.signal.removeEventListener("abort", this.stop);
-    this.forget();
-    this.rejectHead(err ?? new Error("the answer has no head"));
-    this.finish?.(err);
+  /** Ends the exchange; only the first call counts. */
+  private settle(err: Error | undefined): void {
+    if (this.ended) return;
+    this.ended = { err };
+    this.signal.removeEventListener("abort", this.onAbort);
+    this.unsubscribe();
+    this.rejectHead(err ?? new Error("the answer ended before its head"));
+    this.settlePump?.(err);
   }
 }
 
-/** The bytes of a body. Throws when it breaks off, and a RangeError when it is over `limit` bytes. */
-export async function whole(body: Body, limit: number): Promise<Buffer> {
-  const parts: Buffer[] = [];
+/** Reads a whole body. Throws if it breaks off, and a RangeError if it is longer than `maxBytes`. */
+export async function whole(body: Body, maxBytes: number): Promise<Buffer> {
+  const chunks: Buffer[] = [];
   let size = 0;
   await body
-    .pump((part) => {
-      size += part.length;
-      parts.push(part);
-      if (size > limit) body.drop();
+    .pump((chunk) => {
+      size += chunk.length;
+      chunks.push(chunk);
+      if (size > maxBytes) body.drop();
       return undefined;
     })
     .catch((err: unknown) => {
-      if (size > limit) throw new RangeError(`the answer is over ${limit} bytes`);
+      if (size > maxBytes) throw new RangeError(`the answer is longer than ${maxBytes} bytes`);
       throw err;
     });
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
--- a/src/serving/headers.ts
+++ b/src/serving/headers.ts
@@ -1,11 +1,12 @@
 /**
- * Which headers go on: from a caller to an endpoint, and from an endpoint to a caller. Pure.
+ * Selects the headers to forward, from a caller to an endpoint and from an endpoint to a caller. Pure.
  * @module
  */
 
+/** Headers by name; a header that occurs more than once may have a list of values. */
 export type Headers = Readonly<Record<string, string | readonly string[] | undefined>>;
 
-/** Headers that concern one connection alone. */
+/** Headers that apply to a single connection and are never forwarded. */
 const HOP_BY_HOP: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -19,26 +20,26 @@
 ]);
 
 /**
- * The headers of a request that go on to an endpoint: without those of one connection, those that
- * `connection` names, and those that only the system sets or reads (`kept`, in lower case).
+ * Headers of a request that are forwarded to an endpoint: all but hop-by-hop headers, those that the `connection` header
+ * lists, and those that only the system sets or reads (`removed`, in lower case).
  */
 export function forRequest(
   headers: Headers,
-  ...kept: readonly ReadonlySet<string>[]
+  ...removed: readonly ReadonlySet<string>[]
 ): Record<string, string | readonly string[]> {
-  const named = connectionNames(headers);
+  const listedNames = connectionNames(headers);
   const out: Record<string, string | readonly string[]> = {};
-  for (const [spelt, values] of Object.entries(headers)) {
-    const name = spelt.toLowerCase();
-    if (HOP_BY_HOP.has(name) || named.has(name)) continue;
-    if (kept.some((names) => names.has(name))) continue;
+  for (const [rawName, values] of Object.entries(headers)) {
+    const name = rawName.toLowerCase();
+    if (HOP_BY_HOP.has(name) || listedNames.has(name)) continue;
+    if (removed.some((names) => names.has(name))) continue;
     if (values === undefined || values.length === 0) continue;
     out[name] = typeof values !== "string" && values.length === 1 ? (values[0] ?? "") : values;
   }
   return out;
 }
 
-/** The headers of an endpoint's answer that go on to the caller. */
+/** Headers of an endpoint's answer that are forwarded to the caller. */
 export function forAnswer(headers: Headers): Record<string, string | readonly string[]> {
   const out: Record<string, string | readonly string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
@@ -48,7 +49,7 @@
   return out;
 }
 
-/** Names that a `connection` header lists, in lower case. */
+/** Header names that the `connection` headers list, in lower case. */
 function connectionNames(headers: Headers): ReadonlySet<string> {
   const lists = Object.entries(headers)
     .filter(([name]) => name.toLowerCase() === "connection")
--- a/src/serving/peak.ts
+++ b/src/serving/peak.ts
@@ -1,24 +1,24 @@
 /**
- * The highest of the readings of a while. Pure.
+ * Highest of the recent readings of a value. Pure.
  * @module
  */
 
-/** Readings of one span and of the one before, so that a reading is remembered for one span at least and two at most. */
+/** Highest readings of the current span and the one before, so that a reading counts for one to two spans. */
 export interface Peak {
-  /** Start of the span, in ms of the clock of the readings. */
+  /** Start of the current span, in ms of the clock that the readings are timed by. */
   readonly at: number;
   readonly most: number;
   readonly mostBefore: number;
 }
 
-/** The peak with one more reading `n` at `now`. */
+/** Adds a reading `n` taken at `now`. */
 export function read(p: Peak | undefined, n: number, now: number, spanMs: number): Peak {
   if (!p || now - p.at >= 2 * spanMs) return { at: now, most: n, mostBefore: n };
   if (now - p.at >= spanMs) return { at: now, most: n, mostBefore: p.most };
   return { ...p, most: Math.max(p.most, n) };
 }
 
-/** The highest reading that is remembered. */
+/** The highest reading of both spans. */
 export function highest(p: Peak): number {
   return Math.max(p.most, p.mostBefore);
 }
--- a/src/serving/progress.ts
+++ b/src/serving/progress.ts
@@ -1,5 +1,5 @@
 /**
- * One request under way: the caller's side of it, and how far it has come.
+ * State of one request in flight: the response to its caller, and the progress of its sends.
  * @module
  */
 import * as admission from "./admission.js";
@@ -7,18 +7,20 @@
 import type * as headers from "./headers.js";
 import type * as meters from "./meters.js";
 
-/** The caller's side of a request. Nothing is passed on before {@link Outlet.begin}. */
+/** The response to the caller of a request. Nothing is passed on before {@link Outlet.begin}. */
 export interface Outlet {
-  /** Aborts when the caller goes away. */
+  /** Aborts when the caller disconnects. */
   readonly gone: AbortSignal;
+  /** Sends the status and the headers of an answer that is passed on in parts. */
   readonly begin: (status: number, headers: headers.Headers) => void;
-  /** Passes bytes on; resolves when the caller takes more. */
+  /** Passes bytes on; a returned promise resolves when the caller can take more. */
   readonly write: (bytes: Buffer) => Promise<void> | undefined;
   readonly end: () => void;
-  /** Breaks an answer off that has begun, so that it does not look whole. */
+  /** Breaks off an answer that has begun, so that the caller does not take it for complete. */
   readonly breakOff: () => void;
+  /** Sends a whole answer. */
   readonly answer: (status: number, headers: headers.Headers, body: Buffer) => void;
-  /** Refuses; `comeBackMs` is told where the request was not run. */
+  /** Sends a refusal; `comeBackMs` is given only if the request was not run. */
   readonly refuse: (status: number, message: string, comeBackMs?: number) => void;
 }
 
@@ -26,45 +28,53 @@
 export type Ending =
   "whole" | "late" | "refused" | "failed" | "unknown" | "broken" | "left" | "passed_failure";
 
-/** How far a request has come. */
+/** Progress of a request. */
 export interface Progress {
+  /** Sends, including those that did not run. */
   sends: number;
   /** Sends that ran or may have run. */
   runs: number;
+  /** Ids of the endpoints that were tried. */
   readonly tried: Set<string>;
-  /** Engines that sent it back at once for their queue. */
+  /** Ids of the engines that sent the request back at once because of their queue. */
   readonly diverted: Set<string>;
-  /** Times that it got no permit to be sent to a worker, or was withheld though it had one. */
+  /** Times that the request got no permit for a worker, or was withheld despite one. */
   withheld: number;
-  /** Why no worker that could run it takes it now, by what they say; and milliseconds until one does. */
+  /** Why no worker that could run the request accepts it now, according to the workers' notices. */
   closedBy: meters.Reason | undefined;
+  /** Milliseconds until one of them does. */
   opensInMs: number | undefined;
-  /** Times that it left an engine's queue for a shorter one. */
+  /** Times that the request left an engine's queue for a shorter one. */
   moves: number;
-  /** Monotonic ms from which it waits for an endpoint: its arrival, or the end of its last send. */
+  /** Monotonic ms since which the request waits for an endpoint: its arrival, or the end of its last send. */
   waitsFrom: number;
-  /** A retry was charged to the budget that is not made yet. */
+  /** Whether a retry has been charged to the budget but not yet sent. */
   retryIsCharged: boolean;
+  /** Whether the head of a streamed answer was passed on to the caller. */
   begun: boolean;
-  /** It was decided whether it is let in. */
+  /** Whether admission has been decided. */
   judged: boolean;
+  /** Id of the last event that was passed on, or that the caller has from an earlier attempt. */
   lastId: string | undefined;
+  /** Reason of the last failure, for the caller and the log. */
   why: string;
-  /** Status of its refusal, where it did not run. */
+  /** Status of a refusal if the request did not run. */
   refusal: 401 | 503;
-  /** When a refused caller should come back, as far as known. */
+  /** Milliseconds after which a refused caller should retry, as far as known. */
   comeBackMs: number;
-  /** Milliseconds until a request that ends its workers may be sent again; undefined for all others. */
+  /** Milliseconds until a quarantined request may be sent again; undefined for all others. */
   releaseMs: number | undefined;
+  /** Monotonic ms at which the first event or the whole answer was passed on. */
   firstAt: number | undefined;
-  /** What the first choice's first event was expected to take, in ms. */
+  /** Expected ms to the first event from the endpoint chosen first. */
   expectedMs: number | undefined;
-  /** Milliseconds since what the host knew at the last send was as new as the store. */
+  /** Milliseconds, at the last send, since the host's catalog was last known to be up to date with the store. */
   newsMs: number | undefined;
+  /** Id of the endpoint of the last send; empty before the first. */
   endpoint: string;
 }
 
-/** A request that has just arrived. */
+/** Progress of a request that has just arrived. */
 export function start(a: ask.Ask): Progress {
   return {
     sends: 0,
--- a/src/serving/protocol.ts
+++ b/src/serving/protocol.ts
@@ -1,6 +1,6 @@
 /**
- * The port to a wire: how requests, answers and refusals are marked in headers. The platform's
- * adapter implements it; nothing else names a header of the platform.
+ * Port for the platform's HTTP headers: how requests, answers and refusals carry the product's fields. The platform's adapter
+ * implements it; no other module names a header of the platform.
  * @module
  */
 import type * as http from "node:http";
@@ -8,46 +8,48 @@
 import type * as headers from "./headers.js";
 import type * as notices from "./notices.js";
 
-/** What the system adds to a request that it sends to an endpoint. */
+/** Fields that an entry daemon adds to a request that it sends to an endpoint. */
 export interface Marks {
-  /** Incarnation that alone may run the request. */
+  /** The only incarnation that may run the request. */
   readonly instance: string;
-  /** Version of the adapter that alone may serve the request. */
+  /** The only version of the adapter that may serve the request. */
   readonly version?: number | undefined;
-  /** Urgency; 0 goes first. */
+  /** Urgency; 0 is served first. */
   readonly rank: number;
   /** Team whose key the request carried. */
   readonly team?: string | undefined;
-  /** Milliseconds left for the answer. */
+  /** Milliseconds until the deadline of the answer. */
   readonly leftMs: number;
-  /** Last event already passed on; the endpoint goes on after it. */
+  /** Id of the last event already passed on; the endpoint continues after it. */
   readonly resumeAfter?: string | undefined;
 }
 
-/** The key that a request carries. */
+/** API key found in a request. */
 export type Credential =
   | { readonly kind: "key"; readonly key: string }
   | { readonly kind: "missing" }
   | { readonly kind: "malformed"; readonly why: string };
 
+/** Reads and writes the platform's headers. */
 export interface Protocol {
   /** Reads a request's headers; throws a RangeError that says which one is wrong. */
   readonly read: (headers: http.IncomingHttpHeaders) => ask.Meta;
-  /** Headers, in lower case, that only the system sets; what a caller sent under them is dropped. */
+  /** Headers, in lower case, that only the system sets; a caller's values for them are dropped. */
   readonly reserved: ReadonlySet<string>;
-  /** Headers, in lower case, that carry a key; where teams are configured they never go on. */
+  /** Headers, in lower case, that carry an API key; if teams are configured, they are never forwarded. */
   readonly credentials: ReadonlySet<string>;
-  /** The key that a request carries, from all values of each of its headers. */
+  /** Finds the API key of a request, considering all values of each header. */
   readonly credential: (headers: headers.Headers) => Credential;
+  /** Headers that carry the fields added to a request. */
   readonly marks: (m: Marks) => Record<string, string>;
-  /** Which request an answer says it belongs to. */
+  /** Id of the request that an answer says it belongs to. */
   readonly answered: (headers: headers.Headers) => string | undefined;
-  /** Whether an answer vouches that the request was not run and never will be. */
+  /** Whether an answer guarantees that the request was not run and never will be. */
   readonly notRun: (status: number, headers: headers.Headers) => boolean;
-  /** Whether an answer bears an endpoint's signature. */
+  /** Whether an answer carries an endpoint's signature. */
   readonly signed: (headers: headers.Headers) => boolean;
-  /** What an answer says of its worker. */
+  /** What an answer says about its worker. */
   readonly notice: (status: number, headers: headers.Headers) => notices.Notice;
-  /** Headers that tell a refused caller when to come back, in ms. */
+  /** Headers that tell a refused caller after how many ms to retry. */
   readonly comeBack: (ms: number) => Record<string, string>;
 }
--- a/src/serving/retries.ts
+++ b/src/serving/retries.ts
@@ -1,42 +1,43 @@
 /**
- * How many requests may be retried, that is, sent to a further endpoint. All hosts share one budget for each service,
- * without a counter on the path: each keeps to its part by itself.
+ * Retry budget: limits how many requests are retried, that is, sent to a further endpoint. All hosts share one budget for
+ * each service. No counter is shared between them: each process limits itself, so that the sum stays within the budget.
  *
- * Tokens: each request earns half of what the ratio allows, and that expires after a window. What all hosts spend in a
- * window was earned in it or in the one before, so it needs no count of hosts, and a process that starts has none. Requests
- * that came while a process stood still earn it nothing: they belong to an earlier window.
+ * Tokens: each request earns half of the retries that the ratio allows for it, and the tokens expire after a window. The
+ * tokens that all hosts spend in a window were earned in that window or the one before, so the limit holds without knowing
+ * the number of hosts. A process starts without tokens. Requests that arrived while the process was stalled earn no tokens,
+ * since they belong to an earlier window.
  *
- * Slack: each host has an equal part of it, by the highest count of hosts in a while. A process uses it only once it has
- * run for a whole window. So all that use it within one window were running when that window began: each has counted all
- * the others, and none has taken another's place on its host.
+ * Slack: each host may use an equal share of it, computed from the highest number of hosts seen recently. A process uses its
+ * share only after it has run for a whole window. So all processes that use slack within one window were running when that
+ * window began: each has counted all the others, and none has replaced another on the same host.
  * @module
  */
 import type * as clock from "../host/clock.js";
 import * as standstill from "./standstill.js";
 
-/** The budget of all hosts together for one service. */
+/** The retry budget that all hosts share for one service. */
 export interface Options {
-  /** Retries for each request, over a window. */
+  /** Retries allowed per request, over a window. */
   readonly ratio: number;
-  /** Retries in a window besides. */
+  /** Retries allowed in a window in addition to the ratio. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** Windows in which the tokens that are spent in one were earned. */
-const EARNED_IN = 2;
-/** Part of the slack that is used; the rest is for requests that a host reads late. */
-const USED = 0.8;
-/** Milliseconds that a retry may take to arrive, most of them to connect. */
-const ARRIVAL_MS = 800;
-/** Slices of a token's lifetime: tokens earned within one expire together. */
-const SLICES = 32;
-/** What sums of fractions may be off by. */
-const ROUNDING = 1e-9;
-
-/** Tokens earned from `at` on, for a slice of their lifetime; monotonic ms. */
+/** Number of windows in which the tokens spent in one window may have been earned. */
+const EARNING_WINDOWS = 2;
+/** Fraction of the slack that is used; the rest covers requests that a host reads late. */
+const SLACK_FRACTION = 0.8;
+/** Milliseconds that a retry may take to arrive at its endpoint, most of them for connecting. */
+const MAX_ARRIVAL_MS = 800;
+/** Slices that a token's lifetime is divided into; tokens earned within one slice expire together. */
+const EXPIRY_SLICES = 32;
+/** Rounding error allowed in a sum of fractions of tokens. */
+const ROUNDING_TOLERANCE = 1e-9;
+
+/** Tokens earned within one slice, which begins at the monotonic ms `earnedAt`. */
 interface Earned {
-  readonly at: number;
+  readonly earnedAt: number;
   readonly tokens: number;
 }
 
@@ -44,89 +45,89 @@
 export interface Account {
   /** Oldest first. */
   readonly earned: readonly Earned[];
-  /** Steady ms of each retry that the slack was used for, oldest first. */
+  /** Steady-clock ms of each retry charged to the slack, oldest first. */
   readonly fromSlack: readonly number[];
 }
 
 export const EMPTY: Account = { earned: [], fromSlack: [] };
 
-/** Milliseconds for which a token lasts. */
+/** Milliseconds until a token expires. */
 function lifetimeMs(opts: Options): number {
-  return Math.max(0, opts.windowMs - ARRIVAL_MS);
+  return Math.max(0, opts.windowMs - MAX_ARRIVAL_MS);
 }
 
-/** Milliseconds that two processes of one host must lie apart to be in no window together. */
-function apartMs(opts: Options): number {
-  return opts.windowMs + ARRIVAL_MS;
+/** Milliseconds that must lie between the slack uses of two processes of one host, so that no window contains both. */
+function separationMs(opts: Options): number {
+  return opts.windowMs + MAX_ARRIVAL_MS;
 }
 
 function unexpired(earned: readonly Earned[], now: number, opts: Options): readonly Earned[] {
-  const first = earned.findIndex((e) => now - e.at < lifetimeMs(opts));
-  return first < 0 ? [] : earned.slice(first);
+  const firstUnexpired = earned.findIndex((e) => now - e.earnedAt < lifetimeMs(opts));
+  return firstUnexpired < 0 ? [] : earned.slice(firstUnexpired);
 }
 
-function sum(earned: readonly Earned[]): number {
+function totalTokens(earned: readonly Earned[]): number {
   return earned.reduce((n, e) => n + e.tokens, 0);
 }
 
-/** A request came at the monotonic ms `now`. */
+/** Returns the account after a request that arrived at the monotonic ms `now`. */
 export function earn(a: Account, now: number, opts: Options): Account {
-  const tokens = opts.ratio / EARNED_IN;
+  const tokens = opts.ratio / EARNING_WINDOWS;
   const earned = unexpired(a.earned, now, opts);
   const last = earned.at(-1);
-  const isSameSlice = last && now - last.at < lifetimeMs(opts) / SLICES;
+  const isSameSlice = last && now - last.earnedAt < lifetimeMs(opts) / EXPIRY_SLICES;
   return {
     ...a,
     earned: isSameSlice
-      ? [...earned.slice(0, -1), { at: last.at, tokens: last.tokens + tokens }]
-      : [...earned, { at: now, tokens }],
+      ? [...earned.slice(0, -1), { earnedAt: last.earnedAt, tokens: last.tokens + tokens }]
+      : [...earned, { earnedAt: now, tokens }],
   };
 }
 
-/** The account after one token was spent, the oldest ones first; undefined where there is none. */
+/** Spends one token, oldest tokens first; undefined if the account holds less than one. */
 export function spend(a: Account, now: number, opts: Options): Account | undefined {
   const earned = unexpired(a.earned, now, opts);
-  if (sum(earned) < 1 - ROUNDING) return undefined;
-  let owed = 1;
-  const left = earned.map((e) => {
-    const taken = Math.min(owed, e.tokens);
-    owed -= taken;
-    return { at: e.at, tokens: e.tokens - taken };
+  if (totalTokens(earned) < 1 - ROUNDING_TOLERANCE) return undefined;
+  let remaining = 1;
+  const reduced = earned.map((e) => {
+    const taken = Math.min(remaining, e.tokens);
+    remaining -= taken;
+    return { earnedAt: e.earnedAt, tokens: e.tokens - taken };
   });
-  return { ...a, earned: left.filter((e) => e.tokens > 0) };
+  return { ...a, earned: reduced.filter((e) => e.tokens > 0) };
 }
 
-/** The account after the slack was used once, at the steady ms `now`; undefined where `hosts` leave none. */
+/** Charges one retry to the slack, at the steady ms `now`; undefined if the share of one of `hosts` hosts is used up. */
 export function useSlack(
   a: Account,
   now: number,
   hosts: number,
   opts: Options,
 ): Account | undefined {
-  const fromSlack = a.fromSlack.filter((t) => now - t < apartMs(opts));
-  const part = (USED * opts.slack) / Math.max(1, hosts);
-  if (fromSlack.length + 1 > part) return undefined;
-  return { ...a, fromSlack: [...fromSlack, now] };
+  const usedAt = a.fromSlack.filter((t) => now - t < separationMs(opts));
+  const hostShare = (SLACK_FRACTION * opts.slack) / Math.max(1, hosts);
+  if (usedAt.length + 1 > hostShare) return undefined;
+  return { ...a, fromSlack: [...usedAt, now] };
 }
 
-/** What came of asking for a retry, and what decided it. */
+/** Whether a retry was allowed, with the figures that decided it. */
 export interface Verdict {
-  /** What the retry was charged to; undefined where it is over the budget. */
+  /** What the retry was charged to; undefined if it exceeds the budget. */
   readonly from: "tokens" | "slack" | undefined;
-  /** Tokens that are left. */
+  /** Tokens that remain. */
   readonly tokens: number;
   /** Retries charged to the slack in the last window. */
   readonly fromSlack: number;
-  /** Hosts that share the slack, as far as known. */
+  /** Hosts that share the slack; undefined if their number is not known. */
   readonly hosts: number | undefined;
 }
 
-/** The part of each service's budget that one process keeps to. */
+/** One process's share of the retry budget of each service. */
 export class Budget {
   private readonly accounts = new Map<string, Account>();
   private readonly startedAt: number;
-  private isLeaving = false;
-  private pulse: standstill.Pulse;
+  private isDraining = false;
+  private stallState: standstill.Pulse;
   private timer: clock.Timer | undefined;
 
   constructor(
@@ -134,18 +135,18 @@
     private readonly clk: Pick<clock.Clock, "mono" | "steady" | "after">,
   ) {
     this.startedAt = clk.steady();
-    this.pulse = standstill.begin(clk.mono());
-    this.beat();
+    this.stallState = standstill.begin(clk.mono());
+    this.scheduleBeat();
   }
 
-  /** A request for a service was let in. */
+  /** Records a request that was admitted for a service; it earns tokens. */
   request(service: string): void {
-    if (standstill.isCatchingUp(this.pulse, this.clk.mono())) return;
+    if (standstill.isCatchingUp(this.stallState, this.clk.mono())) return;
     const account = this.accounts.get(service) ?? EMPTY;
     this.accounts.set(service, earn(account, this.clk.mono(), this.opts));
   }
 
-  /** Asks for one retry, on one of at most `hosts` hosts; it is charged if it is allowed. */
+  /** Charges one retry if the budget allows it; at most `hosts` hosts share the slack. */
   take(service: string, hosts: number | undefined): Verdict {
     const before = this.accounts.get(service) ?? EMPTY;
     const spent = spend(before, this.clk.mono(), this.opts);
@@ -154,32 +155,32 @@
     const { earned, fromSlack } = after ?? before;
     return {
       from: spent ? "tokens" : after && "slack",
-      tokens: sum(unexpired(earned, this.clk.mono(), this.opts)),
+      tokens: totalTokens(unexpired(earned, this.clk.mono(), this.opts)),
       fromSlack: fromSlack.length,
       hosts,
     };
   }
 
-  /** The process is to stop; from now on the slack is that of the one that takes its place. */
+  /** Stops using the slack because the process is shutting down: its successor on the host uses it from now on. */
   leave(): void {
-    this.isLeaving = true;
+    this.isDraining = true;
   }
 
   close(): void {
     this.timer?.cancel();
   }
 
-  private beat(): void {
-    this.pulse = standstill.beat(this.pulse, this.clk.mono());
+  private scheduleBeat(): void {
+    this.stallState = standstill.beat(this.stallState, this.clk.mono());
     this.timer = this.clk.after(standstill.BEAT_MS, () => {
-      this.beat();
+      this.scheduleBeat();
     });
   }
 
   private useSlack(a: Account, hosts: number | undefined): Account | undefined {
     const now = this.clk.steady();
-    if (hosts === undefined || this.isLeaving) return undefined;
-    if (now - this.startedAt < apartMs(this.opts)) return undefined;
+    if (hosts === undefined || this.isDraining) return undefined;
+    if (now - this.startedAt < separationMs(this.opts)) return undefined;
     return useSlack(a, now, hosts, this.opts);
   }
 }
--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a request may be sent to the endpoint that was chosen for it. It may have waited for its turn, a seat or a
- * connection since it was chosen, and much may have been learnt meanwhile, so this is asked right before it is written.
+ * Checks made right before a request is written to the endpoint chosen for it. The request may have waited for a permit, a
+ * seat or a connection since the choice, and the endpoint, the key or the quarantine may have changed in the meantime.
  * @module
  */
 import type * as record from "../host/record.js";
@@ -22,24 +22,25 @@
   readonly endpoints: Pick<endpoints.Endpoints, "mostHosts">;
   readonly suspects: suspects.Suspects;
   readonly notices: Pick<workerNotices.WorkerNotices, "of" | "opensInMs" | "reason">;
-  /** Whether a request that was let in may still be sent, by its key. */
-  readonly authenticate: (a: ask.Ask) => authentication.Verdict;
+  /** Checks again whether the key of an admitted request still authorizes it. */
+  readonly authenticate: (req: ask.Ask) => authentication.Verdict;
 }
 
 const UNAUTHORIZED = 401;
 
-/** Why a request is not sent: another endpoint may serve it, or none may. */
+/** Why a request is withheld: this endpoint cannot serve it but another may (`elsewhere`), or none may (`refused`). */
 export type Held = "elsewhere" | "refused";
 
+/** Decides whether a request may be sent, and records why not. */
 export class SendChecks {
   constructor(
     private readonly budget: retries.Budget,
     private readonly deps: Deps,
   ) {}
 
-  /** Why a request is not to be sent to an endpoint now; a further send counts against the retry budget. */
+  /** Returns why a request must not be sent to an endpoint now, if so. Any send but the first is charged to the retry budget. */
   held(
-    a: ask.Ask,
+    req: ask.Ask,
     p: progress.Progress,
     e: catalog.Endpoint,
     permit: Pick<workerNotices.Granted, "isGood">,
@@ -50,28 +51,28 @@
       return "elsewhere";
     }
     if (!permit.isGood()) {
-      this.turned(a, p, e);
+      this.turned(req, p, e);
       return "elsewhere";
     }
-    if (!this.isStillLetIn(a, p) || this.isQuarantined(a, p)) return "refused";
-    return p.sends === 0 || this.mayBeRetried(a, p) ? undefined : "refused";
+    if (!this.isStillAuthorized(req, p) || this.isQuarantined(req, p)) return "refused";
+    return p.sends === 0 || this.mayBeRetried(req, p) ? undefined : "refused";
   }
 
-  /** Whether an endpoint takes requests of this host now, by what it says of itself. */
+  /** Whether an endpoint accepts requests from this host now, according to its notices. */
   takes(e: catalog.Endpoint): boolean {
     return this.deps.notices.opensInMs(e) === 0;
   }
 
-  /** A request that an endpoint was chosen for does not go there, by what the endpoint says of itself. */
-  turned(a: ask.Ask, p: progress.Progress, e: catalog.Endpoint, limitedMs = 0): void {
+  /** Records that a request is not sent to the endpoint chosen for it, because of the endpoint's notices or its limit. */
+  turned(req: ask.Ask, p: progress.Progress, e: catalog.Endpoint, limitWaitMs = 0): void {
     const { notices, log, meters } = this.deps;
     const reason = notices.reason(e) ?? "limit";
-    const waitMs = Math.round(Math.max(limitedMs, notices.opensInMs(e)));
+    const waitMs = Math.round(Math.max(limitWaitMs, notices.opensInMs(e)));
     p.withheld++;
-    p.why = `${e.id} takes no request now: ${reason}`;
-    meters.noticed(a.service.name, reason, "elsewhere");
+    p.why = `${e.id} accepts no requests now: ${reason}`;
+    meters.noticed(req.service.name, reason, "elsewhere");
     log.info("A worker takes no request now.", {
-      request: a.meta.id,
+      request: req.meta.id,
       endpoint: e.id,
       reason,
       perS: notices.of(e.id),
@@ -79,15 +80,15 @@
     });
   }
 
-  /** Whether the retry budget allows one more send, which is charged once. */
-  mayBeRetried(a: ask.Ask, p: progress.Progress): boolean {
+  /** Charges one more send to the retry budget, unless that was done already; whether the budget allows it. */
+  mayBeRetried(req: ask.Ask, p: progress.Progress): boolean {
     if (p.retryIsCharged) return true;
-    const service = a.service.name;
+    const service = req.service.name;
     const verdict = this.budget.take(service, this.deps.endpoints.mostHosts());
     this.deps.meters.retry(service, verdict.from);
-    const sentence = verdict.from ? "A request may be retried." : "A retry is over the budget.";
-    this.deps.log.info(sentence, {
-      request: a.meta.id,
+    const message = verdict.from ? "A request may be retried." : "A retry is over the budget.";
+    this.deps.log.info(message, {
+      request: req.meta.id,
       service,
       send: p.sends + 1,
       ...verdict,
@@ -98,18 +99,18 @@
     return p.retryIsCharged;
   }
 
-  /** Whether a request ends the workers that run it, as all hosts know together. */
-  isQuarantined(a: ask.Ask, p: progress.Progress): boolean {
-    const verdict = this.deps.suspects.judge(a);
+  /** Whether a request is quarantined because workers end under it, as found by all hosts together. */
+  isQuarantined(req: ask.Ask, p: progress.Progress): boolean {
+    const verdict = this.deps.suspects.judge(req);
     if (verdict.kind !== "quarantined") return false;
-    p.why = `workers end under the request ${identity.of(a)}`;
+    p.why = `workers end under the request ${identity.of(req)}`;
     p.releaseMs = verdict.releaseMs;
     return true;
   }
 
-  /** Whether its key still lets it in: it may have been taken away during a wait. */
-  private isStillLetIn(a: ask.Ask, p: progress.Progress): boolean {
-    const verdict = this.deps.authenticate(a);
+  /** Whether the key of a request still authorizes it; the key may have been revoked while the request waited. */
+  private isStillAuthorized(req: ask.Ask, p: progress.Progress): boolean {
+    const verdict = this.deps.authenticate(req);
     switch (verdict.kind) {
       case "open":
       case "team":
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -1,6 +1,5 @@
 /**
- * One send of a request: to the endpoint that was found for it, and its answer back to the caller, with what is learnt of
- * the endpoint on the way.
+ * Sends a request to one endpoint, relays the answer to the caller, and records what the send shows about the endpoint.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -22,7 +21,7 @@
 import type * as seeker from "./seeker.js";
 import type * as suspects from "./suspects.js";
 import * as upstream from "./upstream.js";
-import * as watches from "./watch.js";
+import * as sendWatchdog from "./watch.js";
 import type * as workerNotices from "./worker-notices.js";
 
 export interface Deps {
@@ -34,286 +33,331 @@
   readonly suspects: suspects.Suspects;
   readonly notices: workerNotices.WorkerNotices;
   readonly checks: sendChecks.SendChecks;
-  /** Milliseconds since the catalog was as new as the store. */
+  /** Milliseconds since the catalog was last known to be up to date with the store. */
   readonly newsAgeMs: () => number;
 }
 
-/** Bytes of an answer that is no stream, above which it is not held in memory. */
-const ANSWER_LIMIT = 8_388_608;
-/** Endpoints that one request is sent to at most, counting those that did not run it. */
+/** Largest answer in bytes, other than a stream, that is held in memory; a larger one counts as broken off. */
+const MAX_ANSWER_BYTES = 8_388_608;
+/** Most sends of one request, including sends to endpoints that did not run it. */
 export const SENDS = 4;
-const SERVED = 200;
-/** The first status that says that a request failed at its worker. */
-const FAILED = 500;
+const OK_STATUS = 200;
+/** Lowest HTTP status that means that a request failed at its worker. */
+const FIRST_FAILURE_STATUS = 500;
 
+/** Sends requests to endpoints and relays their answers. */
 export class Sender {
   constructor(private readonly deps: Deps) {}
 
-  /** Sends to one endpoint; undefined when a further one is to be tried. */
+  /** Sends a request to one endpoint; undefined if another endpoint is to be tried. */
   async send(
-    a: ask.Ask,
-    out: progress.Outlet,
+    req: ask.Ask,
+    res: progress.Outlet,
     p: progress.Progress,
     best: choice.Estimate,
-    leave: Leave,
-    cut: AbortSignal,
+    grants: Leave,
+    stopSignal: AbortSignal,
   ): Promise<progress.Ending | undefined> {
     const { endpoint } = best.view;
-    const { seat, permit } = leave;
+    const { seat, permit } = grants;
     const sentAt = this.deps.clock.mono();
-    const leftMs = Math.max(1, Math.floor(a.dueAt - sentAt));
+    const leftMs = Math.max(1, Math.floor(req.dueAt - sentAt));
     p.endpoint = endpoint.id;
     this.deps.endpoints.sent(endpoint.id);
-    const marks = {
+    const attributes = {
       instance: seat?.instance ?? endpoint.id,
       version: seat?.version,
-      rank: a.route.rank,
+      rank: req.route.rank,
       leftMs,
       resumeAfter: p.lastId,
-      team: a.caller?.team.name,
+      team: req.caller?.team.name,
+    };
+    const mayGoOn = (): boolean => this.mayResend(req, p) && this.deps.checks.mayBeRetried(req, p);
+    const watchdog = sendWatchdog.open(req, p, best, stopSignal, { ...this.deps, mayGoOn });
+    const send: SendState = {
+      req,
+      res,
+      p,
+      endpoint,
+      grants,
+      sentAt,
+      stopSignal,
+      watchdog,
+      withholdReason: undefined,
     };
-    const mayGoOn = (): boolean => this.another(a, p) && this.deps.checks.mayBeRetried(a, p);
-    const watch = watches.open(a, p, best, cut, { ...this.deps, mayGoOn });
-    const run: Run = { a, out, p, endpoint, leave, sentAt, cut, watch, held: undefined };
     const gate: exchange.Gate = {
       mayStart: () => {
-        run.held = this.deps.checks.held(a, p, endpoint, permit);
-        if (run.held === undefined) this.started(run);
-        return run.held === undefined;
+        send.withholdReason = this.deps.checks.held(req, p, endpoint, permit);
+        if (send.withholdReason === undefined) this.recordStart(send);
+        return send.withholdReason === undefined;
       },
-      whenClosed: (tell) => this.deps.notices.whenClosed(endpoint.id, tell),
+      whenClosed: (callback) => this.deps.notices.whenClosed(endpoint.id, callback),
     };
     try {
-      const sent = await this.deps.upstream.send(a, endpoint, marks, watch.signal, gate);
-      return await this.sort(run, sent);
+      const result = await this.deps.upstream.send(
+        req,
+        endpoint,
+        attributes,
+        watchdog.signal,
+        gate,
+      );
+      return await this.handleResult(send, result);
     } finally {
-      watch.end();
+      watchdog.end();
     }
   }
 
-  /** A request is written now. */
-  private started(r: Run): void {
-    const { a, p, endpoint } = r;
-    r.sentAt = this.deps.clock.mono();
-    r.startedAt = this.deps.clock.steady();
+  /** Records that a request is being written to its connection. */
+  private recordStart(send: SendState): void {
+    const { req, p, endpoint } = send;
+    send.sentAt = this.deps.clock.mono();
+    send.startedAt = this.deps.clock.steady();
     p.sends++;
     p.newsMs = Math.round(this.deps.newsAgeMs());
     p.retryIsCharged = false;
     const { notices } = this.deps;
     notices.sent(endpoint);
     if (notices.of(endpoint.id) !== undefined) {
-      this.deps.meters.noticed(a.service.name, "limit", "sent");
+      this.deps.meters.noticed(req.service.name, "limit", "sent");
     }
   }
 
-  private sort(
-    run: Run,
-    sent: upstream.Sent,
+  /** Settles a send by its result; undefined if another endpoint is to be tried. */
+  private handleResult(
+    send: SendState,
+    result: upstream.Sent,
   ): Promise<progress.Ending | undefined> | progress.Ending | undefined {
-    const { p } = run;
-    switch (sent.kind) {
+    const { p } = send;
+    switch (result.kind) {
       case "withheld":
-        return this.withheld(run);
+        return this.handleWithheld(send);
       case "unsent":
-        this.unsent(run, sent.why);
+        this.handleUnsent(send, result.why);
         return undefined;
       case "not_run":
-        this.heard(run, sent.notice, false);
-        this.notRun(run, sent.why);
-        this.over(run, sent.absent ? "absent" : "not_run", sent.absent ? undefined : false);
+        this.recordNotice(send, result.notice, false);
+        this.recordNotRun(send, result.why);
+        this.settle(send, result.absent ? "absent" : "not_run", result.absent ? undefined : false);
         return undefined;
       case "unknown":
         p.runs++;
-        return this.brokeOff(run, sent.why);
+        return this.handleLostConnection(send, result.why);
       case "answer":
-        this.heard(run, sent.notice, sent.status < FAILED);
+        this.recordNotice(send, result.notice, result.status < FIRST_FAILURE_STATUS);
         p.runs++;
-        return this.pass(run, sent);
+        return this.relay(send, result);
     }
   }
 
-  /** It was not to be sent any more, once it could have been. */
-  private withheld(r: Run): progress.Ending | undefined {
-    const { a, out, p } = r;
-    r.leave.permit.giveBack();
-    this.over(r, "left", undefined);
-    if (r.held === undefined) this.deps.checks.turned(a, p, r.endpoint);
-    return r.held === "refused" ? ending.giveUp(this.deps.clock, a, out, p, false) : undefined;
+  /** The request was withheld: when it could have been written, it was no longer to be sent. */
+  private handleWithheld(send: SendState): progress.Ending | undefined {
+    const { req, res, p } = send;
+    send.grants.permit.giveBack();
+    this.settle(send, "left", undefined);
+    if (send.withholdReason === undefined) this.deps.checks.turned(req, p, send.endpoint);
+    return send.withholdReason === "refused"
+      ? ending.giveUp(this.deps.clock, req, res, p, false)
+      : undefined;
   }
 
-  /** Nothing of it was sent, since no connection came about or it was given up before. */
-  private unsent(r: Run, why: string): void {
-    const isOurs = r.out.gone.aborted || r.cut.aborted;
-    r.leave.permit.giveBack();
-    r.p.sends++;
-    this.notRun(r, why);
-    this.over(r, isOurs ? "left" : "not_run", isOurs ? undefined : false);
+  /** Nothing of the request was sent: no connection was made, or the request was given up before. */
+  private handleUnsent(send: SendState, why: string): void {
+    const isStoppedHere = send.res.gone.aborted || send.stopSignal.aborted;
+    send.grants.permit.giveBack();
+    send.p.sends++;
+    this.recordNotRun(send, why);
+    this.settle(send, isStoppedHere ? "left" : "not_run", isStoppedHere ? undefined : false);
   }
 
-  private notRun(r: Run, why: string): void {
-    const { p, endpoint } = r;
-    p.why = `${endpoint.id} did not run it: ${why}`;
+  /** Records that an endpoint did not run the request, so that another one is tried. */
+  private recordNotRun(send: SendState, why: string): void {
+    const { p, endpoint } = send;
+    p.why = `${endpoint.id} did not run the request: ${why}`;
     p.tried.add(endpoint.id);
     p.waitsFrom = this.deps.clock.mono();
-    this.note(r, "It was not run there.");
+    this.logFailedSend(send, "It was not run there.");
   }
 
-  /** Takes note of what an answer says of its worker. */
-  private heard({ a, endpoint, startedAt }: Run, notice: notices.Notice, ran: boolean): void {
+  /** Records what an answer says about its worker. */
+  private recordNotice(
+    { req, endpoint, startedAt }: SendState,
+    notice: notices.Notice,
+    ran: boolean,
+  ): void {
     const sentAt = startedAt ?? this.deps.clock.steady();
-    this.deps.notices.heard(endpoint, { request: a.meta.id, notice, sentAt, ran });
+    this.deps.notices.heard(endpoint, { request: req.meta.id, notice, sentAt, ran });
   }
 
-  private note(r: Run, sentence: string): void {
+  /** Logs a send that did not lead to an answer. */
+  private logFailedSend(send: SendState, sentence: string): void {
     this.deps.log.warn(sentence, {
-      request: r.a.meta.id,
-      endpoint: r.endpoint.id,
-      send: r.p.sends,
-      why: r.p.why,
+      request: send.req.meta.id,
+      endpoint: send.endpoint.id,
+      send: send.p.sends,
+      why: send.p.why,
     });
   }
 
-  private over(r: Run, how: Parameters<link.Seat["over"]>[0], good: boolean | undefined): void {
-    r.leave.seat?.over(how);
-    const tookMs = how === "whole" ? this.deps.clock.mono() - r.sentAt : undefined;
-    this.deps.endpoints.done(r.endpoint.id, good, tookMs);
+  /** Returns the seat and records the end of a send; `succeeded` is undefined if it tells nothing about the endpoint. */
+  private settle(
+    send: SendState,
+    outcome: Parameters<link.Seat["over"]>[0],
+    succeeded: boolean | undefined,
+  ): void {
+    send.grants.seat?.over(outcome);
+    const tookMs = outcome === "whole" ? this.deps.clock.mono() - send.sentAt : undefined;
+    this.deps.endpoints.done(send.endpoint.id, succeeded, tookMs);
   }
 
-  /** The connection of a send broke off: the worker may have ended. */
-  private async brokeOff(r: Run, why: string): Promise<progress.Ending | undefined> {
-    const isOurs = r.out.gone.aborted || r.cut.aborted;
-    if (!isOurs) {
-      const underWayMs = this.deps.clock.mono() - r.sentAt;
-      const examined = this.deps.suspects.broke(r.a, r.endpoint, underWayMs);
-      // Before it is sent on it must be known whether it has ended its worker.
-      if (catalog.repeatable(r.a.route)) await examined;
+  /** Handles a lost connection, which may mean that the worker has ended. */
+  private async handleLostConnection(
+    send: SendState,
+    why: string,
+  ): Promise<progress.Ending | undefined> {
+    const isStoppedHere = send.res.gone.aborted || send.stopSignal.aborted;
+    if (!isStoppedHere) {
+      const underWayMs = this.deps.clock.mono() - send.sentAt;
+      const examination = this.deps.suspects.broke(send.req, send.endpoint, underWayMs);
+      // Before the request is sent to another worker, it must be known whether it ended this one.
+      if (catalog.repeatable(send.req.route)) await examination;
     }
-    return this.broke(r, why);
+    return this.handleBroken(send, why);
   }
 
-  /** A send that may have run came to nothing. */
-  private broke(r: Run, why: string): progress.Ending | undefined {
-    const { a, out, p } = r;
-    p.why = `${r.endpoint.id} broke off: ${why}`;
-    if (out.gone.aborted || r.cut.aborted) {
-      this.over(r, "left", undefined);
-      return out.gone.aborted ? "left" : ending.giveUp(this.deps.clock, a, out, p, true);
+  /** Handles a send that failed although the request may have run; undefined if it may be repeated elsewhere. */
+  private handleBroken(send: SendState, why: string): progress.Ending | undefined {
+    const { req, res, p } = send;
+    p.why = `${send.endpoint.id} broke off: ${why}`;
+    if (res.gone.aborted || send.stopSignal.aborted) {
+      this.settle(send, "left", undefined);
+      return res.gone.aborted ? "left" : ending.giveUp(this.deps.clock, req, res, p, true);
     }
-    p.tried.add(r.endpoint.id);
+    p.tried.add(send.endpoint.id);
     p.waitsFrom = this.deps.clock.mono();
-    this.over(r, "failed", false);
+    this.settle(send, "failed", false);
     this.deps.log.warn("A send broke off.", {
-      request: a.meta.id,
-      // An attempt's id is new each time; only this tells that the same request came again.
-      identity: identity.of(a),
-      endpoint: r.endpoint.id,
+      request: req.meta.id,
+      // Each attempt has a new request id; only the identity shows that the same request came again.
+      identity: identity.of(req),
+      endpoint: send.endpoint.id,
       send: p.sends,
-      underWayMs: Math.round(p.waitsFrom - r.sentAt),
+      underWayMs: Math.round(p.waitsFrom - send.sentAt),
       why: p.why,
     });
-    if (catalog.repeatable(a.route)) return undefined;
-    return ending.giveUp(this.deps.clock, a, out, p, false);
+    if (catalog.repeatable(req.route)) return undefined;
+    return ending.giveUp(this.deps.clock, req, res, p, false);
   }
 
-  private async pass(r: Run, sent: Answer): Promise<progress.Ending | undefined> {
-    const { a, p } = r;
-    if (sent.status >= FAILED && catalog.repeatable(a.route) && this.another(a, p)) {
-      await upstream.dump(sent.body);
-      return this.broke(r, `status ${sent.status}`);
+  /** Relays an answer to the caller, or discards a failure that may be retried. */
+  private async relay(send: SendState, result: Answer): Promise<progress.Ending | undefined> {
+    const { req, p } = send;
+    if (
+      result.status >= FIRST_FAILURE_STATUS &&
+      catalog.repeatable(req.route) &&
+      this.mayResend(req, p)
+    ) {
+      await upstream.dump(result.body);
+      return this.handleBroken(send, `status ${result.status}`);
     }
-    if (a.route.kind === "stream" && sent.status === SERVED) return this.passStream(r, sent);
-    return this.passWhole(r, sent);
+    if (req.route.kind === "stream" && result.status === OK_STATUS)
+      return this.relayStream(send, result);
+    return this.relayWhole(send, result);
   }
 
-  /** Whether a further send is allowed after one that ran. */
-  private another(a: ask.Ask, p: progress.Progress): boolean {
-    return p.runs < a.route.attempts && p.sends < SENDS;
+  /** Whether the route's attempts and the limit on sends allow another send after one that ran. */
+  private mayResend(req: ask.Ask, p: progress.Progress): boolean {
+    return p.runs < req.route.attempts && p.sends < SENDS;
   }
 
-  private async passWhole(r: Run, sent: Answer): Promise<progress.Ending | undefined> {
-    const { a, out, p } = r;
+  /** Reads an answer whole before any of it is passed on. */
+  private async relayWhole(send: SendState, result: Answer): Promise<progress.Ending | undefined> {
+    const { req, res, p } = send;
     let body: Buffer;
     try {
-      body = await exchange.whole(sent.body, ANSWER_LIMIT);
+      body = await exchange.whole(result.body, MAX_ANSWER_BYTES);
     } catch (err) {
-      return this.brokeOff(r, errors.why(err));
+      return this.handleLostConnection(send, errors.why(err));
     }
-    if (p.begun) return this.broke(r, `status ${sent.status} instead of the rest of a stream`);
+    if (p.begun)
+      return this.handleBroken(send, `status ${result.status} instead of the rest of a stream`);
     p.firstAt = this.deps.clock.mono();
-    const failed = sent.status >= FAILED;
-    this.over(r, failed ? "failed" : "whole", !failed);
-    this.deps.suspects.ran(a);
-    out.answer(sent.status, sent.headers, body);
-    if (!failed) return "whole";
-    p.why = `${r.endpoint.id} answered with status ${sent.status}`;
+    const isFailure = result.status >= FIRST_FAILURE_STATUS;
+    this.settle(send, isFailure ? "failed" : "whole", !isFailure);
+    this.deps.suspects.ran(req);
+    res.answer(result.status, result.headers, body);
+    if (!isFailure) return "whole";
+    p.why = `${send.endpoint.id} answered with status ${result.status}`;
     return "passed_failure";
   }
 
-  private async passStream(r: Run, sent: Answer): Promise<progress.Ending | undefined> {
-    const { out, p } = r;
-    const cutter = new events.Cutter();
-    const resumed = p.lastId;
-    let first = true;
+  /** Passes a stream on, one whole event at a time, without the events that the caller has already. */
+  private async relayStream(send: SendState, result: Answer): Promise<progress.Ending | undefined> {
+    const { res, p } = send;
+    const splitter = new events.Cutter();
+    const resumedAfter = p.lastId;
+    let isFirst = true;
     try {
-      await sent.body.pump((chunk) => {
+      await result.body.pump((chunk) => {
         const ready: Buffer[] = [];
-        for (const e of cutter.take(chunk)) {
-          if (p.begun && resumed !== undefined && isPassed(e.id, resumed)) continue;
+        for (const e of splitter.take(chunk)) {
+          if (p.begun && resumedAfter !== undefined && wasPassedOn(e.id, resumedAfter)) continue;
           if (e.id !== undefined) p.lastId = e.id;
           ready.push(e.bytes);
         }
         if (ready.length === 0) return undefined;
-        if (first) {
-          first = false;
-          r.watch.answered();
-          r.leave.seat?.began(this.deps.clock.mono() - r.sentAt);
+        if (isFirst) {
+          isFirst = false;
+          send.watchdog.answered();
+          send.grants.seat?.began(this.deps.clock.mono() - send.sentAt);
         }
         if (!p.begun) {
           p.begun = true;
           p.firstAt = this.deps.clock.mono();
-          out.begin(sent.status, sent.headers);
+          res.begin(result.status, result.headers);
         }
-        return out.write(ready.length === 1 && ready[0] ? ready[0] : Buffer.concat(ready));
+        return res.write(ready.length === 1 && ready[0] ? ready[0] : Buffer.concat(ready));
       });
     } catch (err) {
-      return this.brokeOff(r, errors.why(err));
+      return this.handleLostConnection(send, errors.why(err));
     }
-    if (!p.begun) out.begin(sent.status, sent.headers);
-    if (cutter.tail().length > 0) void out.write(cutter.tail());
-    this.over(r, "whole", true);
-    this.deps.suspects.ran(r.a);
-    out.end();
+    if (!p.begun) res.begin(result.status, result.headers);
+    if (splitter.tail().length > 0) void res.write(splitter.tail());
+    this.settle(send, "whole", true);
+    this.deps.suspects.ran(send.req);
+    res.end();
     return "whole";
   }
 }
 
+/** A send's result that carries an answer. */
 type Answer = Extract<upstream.Sent, { kind: "answer" }>;
 
-/** What a request was given for one send. */
+/** The seat and the permit that a request holds for one send. */
 export interface Leave {
-  /** Undefined for endpoints that give none. */
+  /** Seat in the engine's batch; undefined for plain services, whose endpoints grant no seats. */
   readonly seat: seeker.Granted | undefined;
   readonly permit: workerNotices.Granted;
 }
 
-/** One send under way. */
-interface Run {
-  readonly a: ask.Ask;
-  readonly out: progress.Outlet;
+/** State of one send in flight. */
+interface SendState {
+  readonly req: ask.Ask;
+  readonly res: progress.Outlet;
   readonly p: progress.Progress;
   readonly endpoint: catalog.Endpoint;
-  readonly leave: Leave;
-  /** Monotonic ms at which it was given to be sent, and then at which it was written. */
+  readonly grants: Leave;
+  /** Monotonic ms at which the send was requested; once the request is written, the ms at which that began. */
   sentAt: number;
-  /** Steady ms at which it was written. */
+  /** Steady-clock ms at which writing the request began. */
   startedAt?: number;
-  readonly cut: AbortSignal;
-  readonly watch: watches.Watch;
-  /** Why it was withheld. */
-  held: sendChecks.Held | undefined;
+  /** Aborts when the caller goes away or the deadline passes. */
+  readonly stopSignal: AbortSignal;
+  readonly watchdog: sendWatchdog.Watch;
+  /** Why the request was withheld, if it was. */
+  withholdReason: sendChecks.Held | undefined;
 }
 
-/** Whether an event of a resumed stream was passed on before. */
-function isPassed(id: string | undefined, last: string): boolean {
-  return id !== undefined && Number(id) <= Number(last);
+/** Whether an event of a resumed stream was already passed on, by comparing its id with the last one passed on. */
+function wasPassedOn(id: string | undefined, resumedAfter: string): boolean {
+  return id !== undefined && Number(id) <= Number(resumedAfter);
 }
--- a/src/serving/standstill.ts
+++ b/src/serving/standstill.ts
@@ -1,36 +1,38 @@
 /**
- * Whether a process stood still: it was stopped, or its host was suspended. What it reads next came while it did not look.
- * Pure.
+ * Detects that the process was stalled: it was stopped, or its host was suspended. What it reads right after a stall arrived
+ * during it. Pure.
  * @module
  */
 
-/** Milliseconds between two beats of a process that runs. */
+/** Milliseconds between two beats of a running process. */
 export const BEAT_MS = 500;
-/** Milliseconds by which a beat may be late on a busy host. */
-const LATE_MS = 500;
-/** Milliseconds in which a process that ran on has read what came meanwhile. */
+/** Milliseconds by which a beat may be late on a busy host without counting as a stall. */
+const MAX_BEAT_DELAY_MS = 500;
+/** Milliseconds after a stall within which the process has read all that arrived during it. */
 const CATCH_UP_MS = 500;
 
-/** The last beat of a process, and until when it catches up; monotonic ms. */
+/** Last beat of a process, and the end of its catching up after a stall; both in monotonic ms. */
 export interface Pulse {
   readonly at: number;
   readonly catchesUpUntil: number;
 }
 
+/** State of a process that starts at `now`. */
 export function begin(now: number): Pulse {
   return { at: now, catchesUpUntil: -Infinity };
 }
 
-function stood(p: Pulse, now: number): boolean {
-  return now - p.at > BEAT_MS + LATE_MS;
+/** Whether the next beat is so late that the process must have been stalled. */
+function hasStalled(s: Pulse, now: number): boolean {
+  return now - s.at > BEAT_MS + MAX_BEAT_DELAY_MS;
 }
 
-/** The pulse after a beat at `now`. */
-export function beat(p: Pulse, now: number): Pulse {
-  return { at: now, catchesUpUntil: stood(p, now) ? now + CATCH_UP_MS : p.catchesUpUntil };
+/** State after a beat at `now`. */
+export function beat(s: Pulse, now: number): Pulse {
+  return { at: now, catchesUpUntil: hasStalled(s, now) ? now + CATCH_UP_MS : s.catchesUpUntil };
 }
 
-/** Whether what is read at `now` may have come while the process stood still. */
-export function isCatchingUp(p: Pulse, now: number): boolean {
-  return stood(p, now) || now < p.catchesUpUntil;
+/** Whether what is read at `now` may have arrived during a stall. */
+export function isCatchingUp(s: Pulse, now: number): boolean {
+  return hasStalled(s, now) || now < s.catchesUpUntil;
 }
--- a/src/serving/upstream.ts
+++ b/src/serving/upstream.ts
@@ -1,5 +1,5 @@
 /**
- * Sends one request to one endpoint, and sorts what comes back by what is certain about it.
+ * Sends a request over HTTP to one endpoint and classifies the result by what is certain about whether the request ran.
  * @module
  */
 import type * as net from "node:net";
@@ -12,9 +12,9 @@
 import type * as notices from "./notices.js";
 import type * as protocol from "./protocol.js";
 
-/** What came of a send before any byte of it was passed on. */
+/** Result of a send, before any byte of its answer is passed on. */
 export type Sent =
-  /** An answer of the endpoint to this very request; the body is still to come. */
+  /** The endpoint answered this request; the body is still to be read. */
   | {
       readonly kind: "answer";
       readonly status: number;
@@ -22,56 +22,55 @@
       readonly body: exchange.Body;
       readonly notice: notices.Notice;
     }
-  /** It was not run and will not be. `absent`: the endpoint is not the one meant, or lacks the adapter. */
+  /** The request was not run and will not be. `absent`: another instance runs at the address, or it lacks the adapter. */
   | {
       readonly kind: "not_run";
       readonly why: string;
       readonly absent: boolean;
       readonly notice: notices.Notice;
     }
-  /** Nothing of it was sent: there was no connection, or it was given up before one was there. */
+  /** Nothing of the request was sent: no connection was made, or the request was given up before. */
   | { readonly kind: "unsent"; readonly why: string }
-  /** Nothing of it was sent, as it was not to be once a connection was there. */
+  /** Nothing of the request was sent: its gate withheld it. */
   | { readonly kind: "withheld" }
-  /** Nobody knows whether it ran. */
+  /** It is unknown whether the request ran. */
   | { readonly kind: "unknown"; readonly why: string };
 
-/** Milliseconds to connect to an endpoint; the other side of a failure domain answers within a few. */
-const CONNECT_MS = 700;
-/** Milliseconds that a kept connection is let go before the endpoint would close it. */
-const KEEP_MARGIN_MS = 300;
-/** Milliseconds that a connection is kept whose endpoint names no time. */
-const KEEP_MS = 3000;
-/** Milliseconds that a connection is kept at most. */
-const KEEP_MAX_MS = 60_000;
-/** Parts of an endpoint's connections that one host uses, where it does not know the other hosts. */
-const HOSTS = 8;
-/** Bytes of headers that an endpoint may send. */
-const HEADER_BYTES = 65_536;
+/** Timeout in milliseconds for connecting to an endpoint; across a failure domain this takes a few. */
+const CONNECT_TIMEOUT_MS = 700;
+/** Milliseconds by which an idle connection is closed before the endpoint would close it. */
+const KEEP_ALIVE_MARGIN_MS = 300;
+/** Milliseconds that an idle connection is kept if its endpoint announces no timeout. */
+const DEFAULT_KEEP_ALIVE_MS = 3000;
+/** Most milliseconds that an idle connection is kept. */
+const MAX_KEEP_ALIVE_MS = 60_000;
+/** Shares that an endpoint's connections are divided into; each host uses one, as it does not know the number of hosts. */
+const CONNECTION_SHARES = 8;
+/** Most bytes of headers accepted from an endpoint. */
+const MAX_HEADER_BYTES = 65_536;
 const MISDIRECTED = 421;
 
-/** Code that a reset connection's error gets here. */
-const RESET = "SUMACFIELD_RESET";
-/** What is written to learn whether a connection was reset; HTTP servers pass over an empty line. */
+/** Error code that replaces those of a reset connection; undici does not know it. */
+const RESET_CODE = "SUMACFIELD_RESET";
+/** Bytes written to find out whether a connection was reset; HTTP servers ignore an empty line. */
 const PROBE = "\r\n";
 
 /**
- * Connects as undici does, but tells a reset from a plain end. An answer without a length is whole
- * only if its connection ended plainly, and two layers hide that: libuv reports a reset that comes
- * together with the last bytes as an end, and undici takes a reset for the end of such an answer. So
- * an end is passed on only once a write has shown that the connection was not reset, and a reset's
- * error gets a code that undici does not know.
+ * Returns undici's connector, changed to tell a reset from a normal close. An answer without a length is complete only if
+ * its connection closed normally, and two layers hide a reset: libuv reports a reset that arrives together with the last
+ * bytes as an end, and undici treats a reset as the end of such an answer. So an end is passed on only after a write has
+ * shown that the connection was not reset, and the error of a reset gets a code that undici does not know.
  */
-function connector(): undici.buildConnector.connector {
-  const plain = undici.buildConnector({ timeout: CONNECT_MS, autoSelectFamily: false });
+function resetAwareConnector(): undici.buildConnector.connector {
+  const connect = undici.buildConnector({ timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false });
   return (opts, done) => {
-    plain(opts, (...[err, socket]) => {
+    connect(opts, (...[err, socket]) => {
       if (err) {
         done(err, null);
         return;
       }
       socket.prependListener("error", (e: NodeJS.ErrnoException) => {
-        if (e.code === "ECONNRESET" || e.code === "EPIPE") e.code = RESET;
+        if (e.code === "ECONNRESET" || e.code === "EPIPE") e.code = RESET_CODE;
       });
       probeAtEnd(socket);
       done(null, socket);
@@ -79,13 +78,13 @@
   };
 }
 
-/** Holds a socket's `end` event back until a write has succeeded; a failed one destroys the socket. */
+/** Delays a socket's `end` event until a write has succeeded; a failed write destroys the socket. */
 function probeAtEnd(socket: net.Socket): void {
   const emit = socket.emit.bind(socket);
-  let ended = false;
+  let endSeen = false;
   socket.emit = (name: string | symbol, ...args: unknown[]): boolean => {
-    if (name !== "end" || ended || socket.destroyed) return emit(name, ...args);
-    ended = true;
+    if (name !== "end" || endSeen || socket.destroyed) return emit(name, ...args);
+    endSeen = true;
     socket.write(PROBE, (err) => {
       if (!err) emit("end");
     });
@@ -93,68 +92,72 @@
   };
 }
 
-/** Connections to the endpoints, one pool for each incarnation. */
+/** Connections to the endpoints, in one pool for each incarnation of an endpoint. */
 export class Upstream {
   private readonly pools = new Map<string, undici.Pool>();
 
   constructor(private readonly wire: protocol.Protocol) {}
 
-  private pool(e: catalog.Endpoint, connections: number): undici.Pool {
-    const known = this.pools.get(e.id);
-    if (known) return known;
-    const made = new undici.Pool(`http://${e.address}`, {
-      connections: Math.max(2, Math.floor(connections / HOSTS)),
+  private poolOf(e: catalog.Endpoint, connections: number): undici.Pool {
+    const existing = this.pools.get(e.id);
+    if (existing) return existing;
+    const pool = new undici.Pool(`http://${e.address}`, {
+      connections: Math.max(2, Math.floor(connections / CONNECTION_SHARES)),
       pipelining: 1,
-      connect: connector(),
-      keepAliveTimeout: KEEP_MS,
-      keepAliveMaxTimeout: KEEP_MAX_MS,
-      keepAliveTimeoutThreshold: KEEP_MARGIN_MS,
+      connect: resetAwareConnector(),
+      keepAliveTimeout: DEFAULT_KEEP_ALIVE_MS,
+      keepAliveMaxTimeout: MAX_KEEP_ALIVE_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       headersTimeout: 0,
       bodyTimeout: 0,
-      maxHeaderSize: HEADER_BYTES,
+      maxHeaderSize: MAX_HEADER_BYTES,
     });
-    this.pools.set(e.id, made);
-    return made;
+    this.pools.set(e.id, pool);
+    return pool;
   }
 
   /**
-   * Sends `a` to `e`, unless `gate` withholds it until there is a connection. An abort of `signal` closes the connection, so
-   * that the endpoint stops.
+   * Sends `req` to `e`, unless `gate` withholds it before it is written. An abort of `signal` closes the connection, so that
+   * the endpoint stops.
    */
   async send(
-    a: ask.Ask,
+    req: ask.Ask,
     e: catalog.Endpoint,
-    marks: protocol.Marks,
+    attributes: protocol.Marks,
     signal: AbortSignal,
     gate: exchange.Gate = exchange.OPEN,
   ): Promise<Sent> {
-    const sent = new exchange.Exchange(signal, gate);
+    const transfer = new exchange.Exchange(signal, gate);
     let head: exchange.Head;
     try {
-      this.pool(e, a.service.connections).dispatch(
+      this.poolOf(e, req.service.connections).dispatch(
         {
-          method: a.method,
-          path: a.path,
-          headers: { ...a.headers, ...this.wire.marks(marks) } as Record<string, string | string[]>,
-          body: a.body.length > 0 ? a.body : null,
+          method: req.method,
+          path: req.path,
+          headers: { ...req.headers, ...this.wire.marks(attributes) } as Record<
+            string,
+            string | string[]
+          >,
+          body: req.body.length > 0 ? req.body : null,
         },
-        sent,
+        transfer,
       );
-      head = await sent.head;
+      head = await transfer.head;
     } catch (err) {
       if (err instanceof exchange.WithheldError) return { kind: "withheld" };
-      return { kind: sent.isStarted ? "unknown" : "unsent", why: errors.why(err) };
+      return { kind: transfer.isStarted ? "unknown" : "unsent", why: errors.why(err) };
     }
-    return this.sort(a, head, sent);
+    return this.classify(req, head, transfer);
   }
 
-  private async sort(a: ask.Ask, head: exchange.Head, body: exchange.Body): Promise<Sent> {
+  /** Classifies an answer by its head. */
+  private async classify(req: ask.Ask, head: exchange.Head, body: exchange.Body): Promise<Sent> {
     const { status, headers } = head;
-    const answered = this.wire.answered(headers);
+    const answeredId = this.wire.answered(headers);
     const claimsNotRun = this.wire.notRun(status, headers);
     const notice = this.wire.notice(status, headers);
-    if (answered !== a.meta.id && !(answered === undefined && claimsNotRun)) {
-      // The bytes belong to another request; the connection cannot be trusted any more.
+    if (answeredId !== req.meta.id && !(answeredId === undefined && claimsNotRun)) {
+      // The bytes belong to another request, so the connection can no longer be trusted.
       body.drop();
       return { kind: "unknown", why: "the answer names another request" };
     }
@@ -165,14 +168,14 @@
     }
     if (status >= 200 && status < 300 && !this.wire.signed(headers)) {
       body.drop();
-      return { kind: "unknown", why: "the answer bears no signature" };
+      return { kind: "unknown", why: "the answer carries no signature" };
     }
     return { kind: "answer", status, headers, body, notice };
   }
 
   /**
-   * Uses new connections to an endpoint from now on. Those that stand may have gone silent for good,
-   * which no reset tells; requests under way on them end by themselves.
+   * Opens new connections to an endpoint for all requests from now on. The existing ones may be dead without a reset;
+   * requests in flight on them end by themselves.
    */
   renew(id: string): void {
     const pool = this.pools.get(id);
@@ -181,12 +184,12 @@
     void pool.close();
   }
 
-  /** Lets go of the connections to endpoints that are there no more. */
+  /** Closes the connections to all endpoints that are not in `ids`. */
   keep(ids: ReadonlySet<string>): void {
     for (const [id, pool] of this.pools) {
       if (ids.has(id)) continue;
       this.pools.delete(id);
-      // Requests under way end by themselves; a failure to close concerns nobody else.
+      // Requests in flight end by themselves; nothing depends on whether closing succeeds.
       void pool.close();
     }
   }
@@ -196,11 +199,11 @@
   }
 }
 
-/** Reads an answer that is not needed, so that its connection can be used again. */
+/** Reads and discards an answer, so that its connection can be reused. */
 export async function dump(body: exchange.Body): Promise<void> {
   try {
     await body.pump(() => undefined);
   } catch {
-    // What was left of it is not needed; the connection is closed by the error.
+    // The rest of the answer is not needed, and the error has closed the connection.
   }
 }
--- a/src/serving/watch.ts
+++ b/src/serving/watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches one send. One that may be repeated is broken off when its engine is known to be gone, or when it
- * gets no sign of an answer for much longer than expected; but only where it may be sent on, since it may still be served.
+ * Watchdog of one send. It breaks off a send of a repeatable request when the engine is known to be gone, or when no answer
+ * begins for much longer than expected. A send that may still succeed is broken off only if the request may be sent again.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -12,25 +12,28 @@
 import type * as progress from "./progress.js";
 import type * as upstream from "./upstream.js";
 
-/**
- * Time without a sign of an answer after which a repeatable request is sent elsewhere: as a multiple of
- * the time expected, above what endpoints take when full, and as a part of the target, before which
- * nothing is lost.
+/*
+ * A repeatable request is sent elsewhere once its endpoint has been silent for the larger of two times.
  */
-const SILENT_FACTOR = 4;
-const SILENT_STREAM_TARGETS = 2;
-const SILENT_CALL_TARGETS = 0.75;
+/** Silence as a multiple of the expected time to the first event; above what endpoints take at full load. */
+const SILENT_EXPECTED_FACTOR = 4;
+/** Silence of an engine as a multiple of the route's latency target, before which nothing is lost. */
+const SILENT_STREAM_TARGET_FACTOR = 2;
+/** The same for a plain service. */
+const SILENT_CALL_TARGET_FACTOR = 0.75;
 
-/** What may break one send off. */
+/** Watchdog of one send. */
 export interface Watch {
+  /** Aborts when the send is to be broken off. */
   readonly signal: AbortSignal;
-  /** The first bytes that matter came. */
+  /** To be called when the first event arrives; ends the wait for an answer. */
   readonly answered: () => void;
+  /** To be called when the send has ended. */
   readonly end: () => void;
 }
 
 export interface Deps {
-  /** Whether the request may be sent on after this send; a retry is charged for it if so. */
+  /** Whether the request may be sent again after this send; if so, a retry is charged to the budget. */
   readonly mayGoOn: () => boolean;
   readonly clock: clock.Clock;
   readonly log: record.Log;
@@ -38,49 +41,52 @@
   readonly upstream: upstream.Upstream;
 }
 
-/** Watches the send of `a` to the endpoint of `best` until it ends; `cut` breaks it off in any case. */
+/** Starts watching the send of `req` to the endpoint of `best`; an abort of `stopSignal` breaks it off in any case. */
 export function open(
-  a: ask.Ask,
+  req: ask.Ask,
   p: progress.Progress,
   best: choice.Estimate,
-  cut: AbortSignal,
+  stopSignal: AbortSignal,
   deps: Deps,
 ): Watch {
   const { id } = best.view.endpoint;
-  if (!catalog.repeatable(a.route)) {
-    return { signal: cut, answered: () => undefined, end: () => undefined };
+  if (!catalog.repeatable(req.route)) {
+    return { signal: stopSignal, answered: () => undefined, end: () => undefined };
   }
-  const own = new AbortController();
+  const controller = new AbortController();
   const stop = (): void => {
-    own.abort();
+    controller.abort();
   };
-  const gone = (): void => {
-    // Where nothing was passed on, its caller is better told at once.
+  const onEndpointGone = (): void => {
+    // If nothing was passed on yet, the send is broken off without a retry too: the caller learns of the failure at once.
     if (!p.begun || deps.mayGoOn()) stop();
   };
-  const unwatch = deps.endpoints.watch(id, gone);
-  cut.addEventListener("abort", stop, { once: true });
-  if (cut.aborted) stop();
-  const targets = a.service.engine ? SILENT_STREAM_TARGETS : SILENT_CALL_TARGETS;
-  const silentMs = Math.max(targets * a.route.targetMs, SILENT_FACTOR * best.firstMs);
-  const silent = (): void => {
+  const unwatch = deps.endpoints.watch(id, onEndpointGone);
+  stopSignal.addEventListener("abort", stop, { once: true });
+  if (stopSignal.aborted) stop();
+  const targetFactor = req.service.engine ? SILENT_STREAM_TARGET_FACTOR : SILENT_CALL_TARGET_FACTOR;
+  const silentMs = Math.max(
+    targetFactor * req.route.targetMs,
+    SILENT_EXPECTED_FACTOR * best.firstMs,
+  );
+  const onSilence = (): void => {
     if (!deps.mayGoOn()) return;
     deps.log.warn("An endpoint stays silent; its connections are made anew.", {
-      request: a.meta.id,
+      request: req.meta.id,
       endpoint: id,
       silentMs: Math.round(silentMs),
     });
     deps.upstream.renew(id);
     stop();
   };
-  const more = p.runs + 1 < a.route.attempts && !p.begun;
-  const timer = more ? deps.clock.after(silentMs, silent) : undefined;
+  const isRetryAllowed = p.runs + 1 < req.route.attempts && !p.begun;
+  const timer = isRetryAllowed ? deps.clock.after(silentMs, onSilence) : undefined;
   return {
-    signal: own.signal,
+    signal: controller.signal,
     answered: () => timer?.cancel(),
     end: () => {
       timer?.cancel();
-      cut.removeEventListener("abort", stop);
+      stopSignal.removeEventListener("abort", stop);
       unwatch();
     },
   };
--- a/test/serving/dispatch.test.ts
+++ b/test/serving/dispatch.test.ts
@@ -10,7 +10,7 @@
 
 const { expect } = chai;
 
-/** What a caller saw. */
+/** What the caller received. */
 interface Seen {
   status: number;
   body: string;
@@ -18,7 +18,7 @@
   end: "whole" | "broken" | "open";
 }
 
-function outlet(gone: AbortSignal, seen: Seen): progress.Outlet {
+function callerResponse(gone: AbortSignal, seen: Seen): progress.Outlet {
   return {
     gone,
     begin: (status) => {
@@ -47,7 +47,7 @@
   };
 }
 
-function unseen(): Seen {
+function nothingSeen(): Seen {
   return { status: 0, body: "", comeBackMs: undefined, end: "open" };
 }
 
@@ -60,24 +60,24 @@
   };
 }
 
-/** Serves one request on a service of some workers. */
+/** Serves one request on a service with a worker at each address. */
 async function serve(
   addresses: readonly string[],
-  over: Partial<ask.Ask> = {},
+  overrides: Partial<ask.Ask> = {},
   gone: AbortSignal = new AbortController().signal,
 ): Promise<Seen> {
-  const made = dispatching.open(catalogOf(addresses));
-  const seen = unseen();
+  const setup = dispatching.open(catalogOf(addresses));
+  const seen = nothingSeen();
   try {
-    await made.dispatcher.serve(fixtures.request(over), outlet(gone, seen));
+    await setup.dispatcher.serve(fixtures.request(overrides), callerResponse(gone, seen));
   } finally {
-    made.close();
+    setup.close();
   }
   return seen;
 }
 
 const STREAM: catalog.Route = { ...fixtures.ROUTE, kind: "stream", resumable: true };
-/** Well under the time after which an endpoint counts as silent, and well over what an answer takes. */
+/** Milliseconds well below the silence after which a send is repeated elsewhere, and well above what an answer takes. */
 const SILENT_MS = 600;
 const IDEMPOTENT: catalog.Route = { ...fixtures.ROUTE, kind: "idempotent" };
 
@@ -86,17 +86,17 @@
 }
 
 describe("dispatch", () => {
-  it("passes a good answer on", async () => {
-    const w = await fixtures.worker((_req, res) => {
+  it("relays a successful answer", async () => {
+    const worker = await fixtures.worker((_req, res) => {
       res.writeHead(200, fixtures.good());
       res.end("fine");
     });
-    const seen = await serve([w.address]);
-    w.close();
+    const seen = await serve([worker.address]);
+    worker.close();
     expect(seen).deep.equal({ status: 200, body: "fine", comeBackMs: undefined, end: "whole" });
   });
 
-  it("goes elsewhere after an endpoint that did not run the request", async () => {
+  it("tries another endpoint after one that did not run the request", async () => {
     let runs = 0;
     const full = await fixtures.worker((_req, res) => {
       res.writeHead(503, { "test-id": "r1", "test-not-run": "1" });
@@ -124,7 +124,7 @@
     expect([seen.status, seen.comeBackMs, arrivals]).deep.equal([502, undefined, 1]);
   });
 
-  it("repeats what may be repeated, as often as the route allows", async () => {
+  it("retries a repeatable request as often as the route allows", async () => {
     let arrivals = 0;
     const breaks = await fixtures.rawWorker((s) => {
       arrivals++;
@@ -137,7 +137,7 @@
     expect([seen.status, arrivals]).deep.equal([502, 2]);
   });
 
-  it("sends a repeatable request elsewhere when an endpoint stays silent", async () => {
+  it("sends a repeatable request elsewhere when an endpoint does not answer", async () => {
     const silent = await fixtures.rawWorker(() => undefined);
     const good = await fixtures.worker((_req, res) => {
       res.writeHead(200, fixtures.good());
@@ -154,49 +154,49 @@
   it("uses new connections where those that stand have gone silent for good", async () => {
     let silent = false;
     let unanswered = 0;
-    const answer = (res: http.ServerResponse): void => {
+    const answerOk = (res: http.ServerResponse): void => {
       res.writeHead(200, fixtures.good());
       res.end("fine");
     };
-    const met = new WeakSet<net.Socket>();
-    const w = await fixtures.worker((req, res) => {
-      // A connection that was there before the trouble passes nothing on any more.
-      if (silent && met.has(req.socket)) {
+    const oldSockets = new WeakSet<net.Socket>();
+    const worker = await fixtures.worker((req, res) => {
+      // Connections opened before the failure no longer pass anything on.
+      if (silent && oldSockets.has(req.socket)) {
         unanswered++;
         return;
       }
-      if (!silent) met.add(req.socket);
+      if (!silent) oldSockets.add(req.socket);
       setTimeout(() => {
-        answer(res);
+        answerOk(res);
       }, 20);
     });
-    const at = catalogOf([w.address]);
-    const made = dispatching.open(at);
-    const one = async (): Promise<number> => {
-      const seen = unseen();
-      const out = outlet(new AbortController().signal, seen);
+    const current = catalogOf([worker.address]);
+    const setup = dispatching.open(current);
+    const serveOne = async (): Promise<number> => {
+      const seen = nothingSeen();
+      const res = callerResponse(new AbortController().signal, seen);
       const now = performance.now();
       const route = { ...IDEMPOTENT, targetMs: SILENT_MS * 2, timeoutMs: 9000 };
-      await made.dispatcher.serve(fixtures.request({ route, dueAt: now + 9000 }), out);
+      await setup.dispatcher.serve(fixtures.request({ route, dueAt: now + 9000 }), res);
       return seen.status;
     };
     try {
       const together = (n: number): Promise<readonly number[]> =>
-        Promise.all(Array.from({ length: n }, one));
+        Promise.all(Array.from({ length: n }, serveOne));
       await together(8);
       silent = true;
-      // A request may open a connection of its own; one on an old one is needed.
+      // A request may open a new connection; the test needs one that was sent on an old connection.
       while (unanswered === 0) await together(1);
       const began = performance.now();
       expect(new Set(await together(8))).deep.equal(new Set([200]));
       expect(performance.now() - began).below(SILENT_MS);
     } finally {
-      made.close();
-      w.close();
+      setup.close();
+      worker.close();
     }
   });
 
-  it("refuses at once, with when to come back, where no endpoint is there", async () => {
+  it("refuses at once, with a time to retry after, when there is no endpoint", async () => {
     const began = performance.now();
     const seen = await serve([]);
     expect(seen.status).equal(503);
@@ -204,17 +204,17 @@
     expect(performance.now() - began).below(fixtures.ROUTE.targetMs / 4 + 60);
   });
 
-  it("passes an endpoint's own failure on", async () => {
-    const w = await fixtures.worker((_req, res) => {
+  it("relays an endpoint's own failure", async () => {
+    const worker = await fixtures.worker((_req, res) => {
       res.writeHead(500, fixtures.good());
       res.end("sorry");
     });
-    const seen = await serve([w.address]);
-    w.close();
+    const seen = await serve([worker.address]);
+    worker.close();
     expect([seen.status, seen.body]).deep.equal([500, "sorry"]);
   });
 
-  it("answers 504 at the deadline, and tells the endpoint", async () => {
+  it("answers 504 at the deadline and closes the connection to the endpoint", async () => {
     let cut = false;
     const slow = await fixtures.worker((_req, res) => {
       res.on("close", () => {
@@ -229,26 +229,26 @@
   });
 
   it("resumes a stream that breaks in the middle of an event", async () => {
-    const asked: (string | undefined)[] = [];
+    const resumeIds: (string | undefined)[] = [];
     const breaks = await fixtures.worker((_req, res) => {
       res.writeHead(200, fixtures.good());
       res.write(`${event(1)}${event(2)}id: 3\nda`);
       setTimeout(() => res.destroy(), 20);
     });
-    const rest = await fixtures.worker((req, res) => {
-      asked.push(req.headers["last-event-id"]?.toString());
+    const other = await fixtures.worker((req, res) => {
+      resumeIds.push(req.headers["last-event-id"]?.toString());
       res.writeHead(200, fixtures.good());
       res.end(`${event(2)}${event(3)}${event(4)}`);
     });
-    const seen = await serve([breaks.address, rest.address], { route: STREAM });
+    const seen = await serve([breaks.address, other.address], { route: STREAM });
     breaks.close();
-    rest.close();
-    expect(asked).deep.equal(["2"]);
+    other.close();
+    expect(resumeIds).deep.equal(["2"]);
     expect(seen.body).equal([1, 2, 3, 4].map(event).join(""));
     expect(seen.end).equal("whole");
   });
 
-  it("breaks a stream off that may not be resumed, and does not end it as if whole", async () => {
+  it("breaks off a stream that must not be resumed, instead of ending it as if complete", async () => {
     const breaks = await fixtures.worker((_req, res) => {
       res.writeHead(200, fixtures.good());
       res.write(event(1));
@@ -277,7 +277,7 @@
     await clock.sleep(clock.system, 50);
     slow.close();
     expect(seen.end).equal("open");
-    // Well before the deadline, which would end the send too.
+    // Well before the deadline, which would end the send as well.
     expect(cutAt - goneAt).within(0, 300);
   });
 });
--- a/test/serving/dispatching.ts
+++ b/test/serving/dispatching.ts
@@ -1,5 +1,5 @@
 /**
- * A dispatcher with its connections, over endpoints that a test gives.
+ * Dispatcher for tests, with the parts that it needs, over a catalog that the test provides.
  * @module
  */
 import * as clock from "../../src/host/clock.js";
@@ -20,33 +20,33 @@
 import * as upstream from "../../src/serving/upstream.js";
 import * as fixtures from "./fixtures.js";
 
-/** A budget that lets even the first request be retried a few times. */
+/** Retry budget that allows even the first request a few retries. */
 const RETRIES: retries.Options = { ratio: 16, slack: 0, windowMs: 10_000 };
 
 /**
- * Makes it, over a catalog or what reads the one in force; `daemonOf` tells where an engine's endpoint
- * daemon listens.
+ * Creates a dispatcher over a catalog, or over a function that returns the current one. `daemonOf` returns the address of an
+ * engine's endpoint daemon.
  */
 export function open(
-  at: catalog.Catalog | (() => catalog.Catalog),
+  current: catalog.Catalog | (() => catalog.Catalog),
   daemonOf: (e: catalog.Endpoint) => string = (e) => e.address,
   clk: clock.Clock = clock.system,
   wire: protocol.Protocol = fixtures.WIRE,
   authenticate: (a: ask.Ask) => authentication.Verdict = () => ({ kind: "open" }),
   budget: retries.Options = RETRIES,
 ) {
-  const inForce = typeof at === "function" ? at : () => at;
+  const currentCatalog = typeof current === "function" ? current : () => current;
   const known = new endpoints.Endpoints(
     {
       clock: clk,
       log: record.silent,
       host: "entry",
-      catalog: inForce,
+      catalog: currentCatalog,
       daemonOf,
       suspicion: (m, peer) => {
-        suspected.hear(m, peer);
+        suspectList.hear(m, peer);
       },
-      greeting: () => suspected.retold(),
+      greeting: () => suspectList.retold(),
       random: () => 0,
       notice: (m, peer) => {
         notices.learn(m, peer);
@@ -56,7 +56,7 @@
     },
     clk,
   );
-  const shared: limiter.Limiter = new limiter.Limiter({
+  const sharedLimiter: limiter.Limiter = new limiter.Limiter({
     clock: clk,
     log: record.silent,
     totals: () => notices.totals(),
@@ -66,21 +66,21 @@
   const notices = new workerNotices.WorkerNotices({
     clock: clk,
     log: record.silent,
-    limiter: shared,
+    limiter: sharedLimiter,
     tell: () => undefined,
     random: () => 0,
   });
-  const suspected = new suspects.Suspects({
+  const suspectList = new suspects.Suspects({
     clock: clk,
     log: record.silent,
-    catalog: inForce,
+    catalog: currentCatalog,
     autopsy: new autopsy.Autopsy(clk),
     tell: (key, m) => {
       known.relay(key, m);
     },
     claim: () => Promise.resolve(true),
   });
-  const up = new upstream.Upstream(wire);
+  const upstreamPools = new upstream.Upstream(wire);
   const dispatcher = new dispatch.Dispatch(
     { domain: "d1", retries: budget },
     {
@@ -88,10 +88,10 @@
       log: record.silent,
       meters: meters.open(),
       endpoints: known,
-      upstream: up,
-      catalog: inForce,
+      upstream: upstreamPools,
+      catalog: currentCatalog,
       newsAgeMs: () => 0,
-      suspects: suspected,
+      suspects: suspectList,
       notices,
       authenticate,
       random: () => 0,
@@ -101,17 +101,17 @@
     known,
     notices,
     dispatcher,
-    suspects: suspected,
+    suspects: suspectList,
     close: (): void => {
       dispatcher.close();
-      shared.close();
-      up.close();
+      sharedLimiter.close();
+      upstreamPools.close();
       known.close();
     },
   };
 }
 
-/** A caller's side that writes down what it is told. */
+/** A response to a caller that records the calls made on it. */
 export function recorded(): { readonly outlet: progress.Outlet; readonly seen: readonly string[] } {
   const seen: string[] = [];
   const outlet: progress.Outlet = {
@@ -126,7 +126,7 @@
   return { outlet, seen };
 }
 
-/** A request of a stream for the adapter `a` of the model `m`, with `waitMs` from now on. */
+/** A streaming request for the adapter `a` of the model `m`, with a deadline `waitMs` from now. */
 export function streamed(service: catalog.Service, route: catalog.Route, waitMs: number): ask.Ask {
   return fixtures.request({
     route,
--- a/test/serving/kept-run.test.ts
+++ b/test/serving/kept-run.test.ts
@@ -9,49 +9,49 @@
 
 const { expect } = chai;
 
-const NONE: retries.Options = { ratio: 0, slack: 0, windowMs: 10_000 };
-const SOME: retries.Options = { ratio: 16, slack: 0, windowMs: 10_000 };
+const NO_RETRIES: retries.Options = { ratio: 0, slack: 0, windowMs: 10_000 };
+const SOME_RETRIES: retries.Options = { ratio: 16, slack: 0, windowMs: 10_000 };
 
-/** What a caller of a stream is told whose engine is thought gone after the first event, and is not. */
-async function told(budget: retries.Options, attempts: number): Promise<readonly string[]> {
-  let goOn = (): void => undefined;
+/** What the caller of a stream receives if the engine is wrongly presumed gone after the first event. */
+async function callerEvents(budget: retries.Options, attempts: number): Promise<readonly string[]> {
+  let finishStream = (): void => undefined;
   const worker = await fixtures.worker((_req, res) => {
     res.writeHead(200, fixtures.good());
     res.write("id: 1\ndata: x\n\n");
-    goOn = () => res.end("id: 2\ndata: x\n\n");
+    finishStream = () => res.end("id: 2\ndata: x\n\n");
   });
   const daemon = await telling.open(telling.state("i1"), telling.holdings("m/a"));
   const { at, service } = engines.known([fixtures.endpoint("i1", worker.address)]);
   const args = [() => daemon.address, clock.system, fixtures.WIRE] as const;
-  const made = dispatching.open(at, ...args, () => ({ kind: "open" }), budget);
+  const setup = dispatching.open(at, ...args, () => ({ kind: "open" }), budget);
   try {
-    made.known.refresh();
-    await engines.until(() => made.known.views(service).every((v) => v.holdings !== undefined));
+    setup.known.refresh();
+    await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
     const { outlet, seen } = dispatching.recorded();
     const kind = { kind: "stream", resumable: true, timeoutMs: 2000, attempts } as const;
     const route: catalog.Route = { ...fixtures.ROUTE, ...kind };
-    const served = made.dispatcher.serve(dispatching.streamed(service, route, 2000), outlet);
+    const served = setup.dispatcher.serve(dispatching.streamed(service, route, 2000), outlet);
     await engines.until(() => daemon.heard.includes("ask"));
     daemon.tell({ kind: "grant", seat: 0, instance: "i1", version: 1 });
     await engines.until(() => seen.length > 0);
     daemon.tell(telling.state(""));
-    await engines.until(() => made.known.views(service).every((v) => v.state?.instance === ""));
-    goOn();
+    await engines.until(() => setup.known.views(service).every((v) => v.state?.instance === ""));
+    finishStream();
     await served;
     return seen;
   } finally {
-    made.close();
+    setup.close();
     daemon.close();
     worker.close();
   }
 }
 
-describe("a stream whose engine is thought gone", () => {
+describe("a stream whose engine is wrongly presumed gone", () => {
   it("is not broken off where the retry budget is used up", async () => {
-    expect(await told(NONE, 2)).deep.equal(["begin 200", "end"]);
+    expect(await callerEvents(NO_RETRIES, 2)).deep.equal(["begin 200", "end"]);
   });
 
   it("is not broken off where its route allows no further attempt", async () => {
-    expect(await told(SOME, 1)).deep.equal(["begin 200", "end"]);
+    expect(await callerEvents(SOME_RETRIES, 1)).deep.equal(["begin 200", "end"]);
   });
 });
--- a/test/serving/retry-budget.test.ts
+++ b/test/serving/retry-budget.test.ts
@@ -6,10 +6,10 @@
 const { expect } = chai;
 
 const OPTS: retries.Options = { ratio: 0.2, slack: 52, windowMs: 10_000 };
-/** When all hosts know how many they are. */
+/** Age in ms from which a process knows the number of hosts. */
 const KNOWN_MS = 200;
 
-/** Fleets of a few hosts, of tens, and of hundreds, with their requests a second. */
+/** Fleets of a few hosts, of tens and of hundreds, with their requests per second. */
 const FLEETS = [
   { hosts: 4, perS: 70, stepMs: 10 },
   { hosts: 29, perS: 300, stepMs: 20 },
@@ -37,7 +37,7 @@
   return Array.from({ length: f.hosts }, (_, i) => i);
 }
 
-/** All hosts are killed at once, again and again. */
+/** All hosts are killed at once, several times. */
 function killedTogether(f: Fleet): readonly retrying.Event[] {
   const times = [8000, 9500, 11_000, 12_500, 14_000, 15_500];
   return times.flatMap((at) =>
@@ -45,7 +45,7 @@
   );
 }
 
-/** Hosts are stopped one after the other; each process serves on beside its successor. */
+/** Hosts are stopped one after the other; each process keeps serving beside its successor. */
 function stoppedInTurn(f: Fleet): readonly retrying.Event[] {
   return all(f).map(
     (host) =>
@@ -53,14 +53,14 @@
   );
 }
 
-/** Half of the hosts go, one after the other. */
+/** Half of the hosts disappear for good, one after the other. */
 function goneInTurn(f: Fleet): readonly retrying.Event[] {
   return all(f)
     .slice(f.hosts / 2)
     .map((host, i) => ({ kind: "gone", at: 8000 + (i * 10_000) / f.hosts, host }) as const);
 }
 
-/** Three quarters of the hosts go at once, and their requests move to the others. */
+/** Three quarters of the hosts disappear at once, and their requests move to the others. */
 function mostGo(f: Fleet): readonly retrying.Event[] {
   const stay = Math.ceil(f.hosts / 4);
   const gone = all(f).slice(stay);
@@ -70,12 +70,12 @@
   ];
 }
 
-/** All hosts are stopped at once; each process serves on beside its successor. */
+/** All hosts are stopped at once; each process keeps serving beside its successor. */
 function stoppedTogether(f: Fleet): readonly retrying.Event[] {
   return all(f).map((host) => ({ kind: "stop", at: 20_000, host, graceMs: 8000 }) as const);
 }
 
-/** The requests move on from one half of the hosts to the other. */
+/** All requests move from one half of the hosts to the other. */
 function movedOn(f: Fleet): readonly retrying.Event[] {
   const half = f.hosts / 2;
   return [
@@ -84,7 +84,7 @@
   ];
 }
 
-/** A quarter of the hosts stand still, one after the other. */
+/** A quarter of the hosts are stalled, one after the other. */
 function frozenInTurn(f: Fleet): readonly retrying.Event[] {
   return all(f)
     .slice(0, Math.ceil(f.hosts / 4))
@@ -92,16 +92,16 @@
 }
 
 const CASES: Readonly<Record<string, (f: Fleet) => Partial<retrying.Plan>>> = {
-  "in calm": () => ({}),
+  "without disturbances": () => ({}),
   "where none was wanted for long": () => ({ wanted: [[30_000, 34_000]] }),
   "while all hosts are killed again and again": (f) => ({ events: killedTogether(f) }),
-  "while hosts are stopped in turn and serve on": (f) => ({ events: stoppedInTurn(f) }),
+  "while hosts are stopped in turn and keep serving": (f) => ({ events: stoppedInTurn(f) }),
   "while all hosts are stopped and serve on": (f) => ({
     events: stoppedTogether(f),
     ms: 40_000,
     wanted: [[27_500, 40_000]],
   }),
-  "while hosts go for good": (f) => ({ events: goneInTurn(f) }),
+  "while hosts disappear for good": (f) => ({ events: goneInTurn(f) }),
   "while most hosts go at once": (f) => ({ events: mostGo(f), wanted: [[20_000, 34_000]] }),
   "while requests move from some hosts to others": (f) => ({
     events: movedOn(f),
@@ -129,15 +129,15 @@
     ],
     wanted: [[19_900, 34_000]],
   }),
-  "while hosts stand still": (f) => ({ events: frozenInTurn(f) }),
+  "while hosts are stalled in turn": (f) => ({ events: frozenInTurn(f) }),
   "where the number of hosts is never known": () => ({ told: () => undefined }),
-  "where hosts that start hear of few others": (f) => ({
+  "where processes that start are told of few hosts": (f) => ({
     events: killedTogether(f),
     told: (alive, ageMs) => Math.min(alive, 1 + Math.floor(ageMs / 50)),
   }),
 };
 
-describe("the retry budget of all hosts together is kept", () => {
+describe("the retry budget of all hosts together is not exceeded", () => {
   for (const [title, over] of Object.entries(CASES)) {
     for (const f of FLEETS) {
       it(`${title}: ${f.hosts} hosts`, () => {
@@ -147,7 +147,7 @@
     }
   }
 
-  it("whatever happens to hosts, in any order", () => {
+  it("under any sequence of host events", () => {
     const [few, more] = FLEETS;
     const at = fc.integer({ min: 0, max: 40_000 });
     const ms = fc.integer({ min: 100, max: 9000 });
--- a/test/serving/retrying.ts
+++ b/test/serving/retrying.ts
@@ -1,6 +1,6 @@
 /**
- * Entry hosts in virtual time that retry whatever their budget allows, and how far that exceeds what the budget allows
- * all of them together.
+ * Simulation in virtual time of entry hosts that make every retry their budget allows, and a check of whether the sum exceeds
+ * the budget of all hosts together.
  * @module
  */
 import * as generators from "pure-rand/generator/xoroshiro128plus";
@@ -11,7 +11,7 @@
 import * as rule from "../../bench/platform/retry-rule.js";
 import * as retries from "../../src/serving/retries.js";
 
-/** The clock of one process, which reads `now`; its timers run when the process does. */
+/** Clock of one simulated process, which reads `now`; its timers fire only when the process runs. */
 export class ProcessClock {
   private timers: readonly { readonly at: number; readonly run: () => void }[] = [];
 
@@ -29,7 +29,7 @@
     };
   };
 
-  /** Runs the timers that are due. */
+  /** Fires the timers that are due. */
   run(): void {
     const due = this.timers.filter((t) => t.at <= this.now());
     this.timers = this.timers.filter((t) => t.at > this.now());
@@ -37,39 +37,40 @@
   }
 }
 
-/** What happens to a host at `at`; all times in ms. */
+/** Something that happens to a host at the time `at`; all times in ms. */
 export type Event =
-  /** Its process is killed; another starts `downMs` later. */
+  /** The host's process is killed; another starts `downMs` later. */
   | { readonly kind: "kill"; readonly at: number; readonly host: number; readonly downMs: number }
-  /** Its process is told to stop, and serves on for `graceMs` beside the one that takes its place. */
+  /** The host's process is told to stop, and keeps serving for `graceMs` beside its successor. */
   | { readonly kind: "stop"; readonly at: number; readonly host: number; readonly graceMs: number }
-  /** It is gone for good. */
+  /** The host disappears for good. */
   | { readonly kind: "gone"; readonly at: number; readonly host: number }
-  /** Its process stands still for `ms`, while requests wait for it. */
+  /** The host's process is stalled for `ms`, while requests wait for it. */
   | { readonly kind: "freeze"; readonly at: number; readonly host: number; readonly ms: number }
-  /** From now on all requests come to these hosts. */
+  /** From now on all requests go to these hosts. */
   | { readonly kind: "move"; readonly at: number; readonly to: readonly number[] };
 
+/** Input of a simulation. */
 export interface Plan {
   readonly opts: retries.Options;
   readonly hosts: number;
   readonly ms: number;
-  /** Requests a second at all hosts together. */
+  /** Requests per second at all hosts together. */
   readonly perS: number;
-  /** When there are how many times as many. */
-  readonly bursts: readonly (readonly [from: number, to: number, times: number])[];
-  /** When retries are wanted: as many as the budget allows. */
-  readonly wanted: readonly (readonly [from: number, to: number])[];
+  /** Intervals in which the request rate is multiplied by `times`. */
+  readonly bursts: readonly (readonly [from: number, receivers: number, times: number])[];
+  /** Intervals in which processes make as many retries as their budget allows. */
+  readonly wanted: readonly (readonly [from: number, receivers: number])[];
   readonly events: readonly Event[];
-  /** What a process hears of how many hosts there are. */
+  /** Number of hosts that a process of a given age is told of; undefined if it is told none. */
   readonly told: (alive: number, ageMs: number) => number | undefined;
   readonly stepMs: number;
-  /** Milliseconds after which a retry reaches its endpoint, at most. */
+  /** Most milliseconds that a retry takes to reach its endpoint. */
   readonly arrivesInMs: number;
   readonly seed: number;
 }
 
-/** When requests came, and when retries were made. */
+/** Times at which requests arrived and retries reached their endpoints. */
 export interface Record {
   readonly asked: readonly number[];
   readonly retried: readonly number[];
@@ -80,52 +81,52 @@
   readonly budget: retries.Budget;
   readonly startedAt: number;
   readonly endsAt: number;
-  /** How many hosts it heard of. */
+  /** Highest recent number of hosts that the process was told of. */
   counts: peak.Peak | undefined;
 }
 
 interface Host {
-  /** Those that run, the one that takes requests last. */
+  /** Running processes; the last one receives the requests. */
   processes: readonly Process[];
   startsAt: number;
   frozenUntil: number;
-  /** Requests that wait for it. */
+  /** Requests that wait for the host. */
   waiting: number;
 }
 
 const SERVICE = "llm";
 
-/** Plays a plan. */
+/** Runs a simulation. */
 export function play(plan: Plan): Record {
   let now = 0;
   const asked: number[] = [];
   const retried: number[] = [];
   const rng = generators.xoroshiro128plus(plan.seed);
-  const begin = (): Process => {
+  const startProcess = (): Process => {
     const clk = new ProcessClock(() => now);
     const budget = new retries.Budget(plan.opts, clk);
     return { clk, budget, startedAt: now, endsAt: Infinity, counts: undefined };
   };
   const hosts: Host[] = Array.from({ length: plan.hosts }, () => ({
-    processes: [begin()],
+    processes: [startProcess()],
     startsAt: Infinity,
     frozenUntil: 0,
     waiting: 0,
   }));
-  let to: readonly number[] = hosts.map((_, i) => i);
-  let owed = 0;
+  let receivers: readonly number[] = hosts.map((_, i) => i);
+  let requestsDue = 0;
   const due = [...plan.events].sort((a, b) => a.at - b.at);
   for (; now < plan.ms; now += plan.stepMs) {
     for (; due[0] && due[0].at <= now; due.shift()) {
       const [e] = due;
-      const struck = e.kind === "move" ? undefined : hosts[e.host];
-      if (e.kind === "move") to = e.to;
-      else if (struck) strike(struck, e, now, begin);
+      const host = e.kind === "move" ? undefined : hosts[e.host];
+      if (e.kind === "move") receivers = e.to;
+      else if (host) applyEvent(host, e, now, startProcess);
     }
-    for (const h of hosts) age(h, now, begin);
-    for (owed += (perSNow() * plan.stepMs) / 1000; owed >= 1; owed--) {
+    for (const h of hosts) startAndEndProcesses(h, now, startProcess);
+    for (requestsDue += (perSNow() * plan.stepMs) / 1000; requestsDue >= 1; requestsDue--) {
       asked.push(now);
-      const h = hosts[to[uniform.uniformInt(rng, 0, to.length - 1)] ?? 0];
+      const h = hosts[receivers[uniform.uniformInt(rng, 0, receivers.length - 1)] ?? 0];
       if (h) h.waiting++;
     }
     const alive = hosts.filter((h) => h.processes.length > 0).length;
@@ -153,17 +154,17 @@
       if (told !== undefined) p.counts = peak.read(p.counts, told, now, endpoints.HOSTS_MS);
       const most = p.counts && peak.highest(p.counts);
       while (isWanted && p.budget.take(SERVICE, most).from) retried.push(now + arrivesInMs());
-      // What waited for a process is read before its timers run.
+      // A process reads the requests that waited for it before its timers fire.
       p.clk.run();
     }
   }
 }
 
-function strike(
+function applyEvent(
   h: Host,
   e: Exclude<Event, { kind: "move" }>,
   now: number,
-  begin: () => Process,
+  startProcess: () => Process,
 ): void {
   switch (e.kind) {
     case "kill":
@@ -176,7 +177,10 @@
       break;
     case "stop":
       for (const p of h.processes) p.budget.leave();
-      h.processes = [...h.processes.map((p) => ({ ...p, endsAt: now + e.graceMs })), begin()];
+      h.processes = [
+        ...h.processes.map((p) => ({ ...p, endsAt: now + e.graceMs })),
+        startProcess(),
+      ];
       break;
     case "freeze":
       h.frozenUntil = now + e.ms;
@@ -184,17 +188,17 @@
   }
 }
 
-/** Processes end and start as planned; what waits where none runs is lost. */
-function age(h: Host, now: number, begin: () => Process): void {
+/** Ends and starts processes as planned; requests that wait at a host without a process are lost. */
+function startAndEndProcesses(h: Host, now: number, startProcess: () => Process): void {
   h.processes = h.processes.filter((p) => p.endsAt > now);
   if (h.startsAt <= now) {
-    h.processes = [begin()];
+    h.processes = [startProcess()];
     h.startsAt = Infinity;
   }
   if (h.processes.length === 0) h.waiting = 0;
 }
 
-/** By how many retries the worst window exceeds the budget; 0 or less where it is kept. */
+/** Retries by which the worst window exceeds the budget; 0 or less if the budget is kept. */
 export function excess(r: Record, opts: retries.Options): number {
   const worst = rule.worst(r.asked, r.retried, opts);
   return worst ? worst.retries - worst.allowed : -Infinity;
--- a/test/serving/suspended.test.ts
+++ b/test/serving/suspended.test.ts
@@ -10,40 +10,40 @@
 
 const ADAPTER = "m/a";
 const WAIT_MS = 5000;
-const ASLEEP_MS = 3000;
+const SUSPENDED_MS = 3000;
 
-/** The clocks of a host that may be suspended: the steady one stands still meanwhile, the time of day goes on. */
+/** Clock of a host that may be suspended: the steady clock stops during suspension, the time of day goes on. */
 function suspendable() {
-  let asleepMs = 0;
+  let suspendedMs = 0;
   const clk: clock.Clock = {
     ...clock.system,
-    now: () => new Date(Date.now() + asleepMs),
+    now: () => new Date(Date.now() + suspendedMs),
   };
   return {
     clk,
     suspend: (ms: number): void => {
-      asleepMs += ms;
+      suspendedMs += ms;
     },
   };
 }
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Closes what the current test has opened, even if it fails. */
+const cleanups: (() => void)[] = [];
 
 describe("an entry host that was suspended", () => {
   afterEach(() => {
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
   /*
-   * What goes wrong: a request waits for a seat while its host stands still for three of its five seconds. Its steady
-   * clock did not count them, so the engine is told that five seconds are left; its caller has given up after two, and
-   * the engine works on in vain. Evidence: this test, in which the engine is told 4,9xx ms.
+   * Guards against a deadline that ignores suspension: a request waits for a seat while its host is suspended for three of
+   * the request's five seconds. The steady clock does not count them, so the engine would be told that almost five seconds
+   * are left (4,9xx ms) and would work in vain for a caller who gives up two seconds later.
    */
-  it("passes on no more of a request's time than is left", async () => {
-    const left: number[] = [];
+  it("tells the engine no more time than the request has left", async () => {
+    const reportedLeftMs: number[] = [];
     const worker = await fixtures.worker((req, res) => {
-      left.push(Number(req.headers["test-left"]));
+      reportedLeftMs.push(Number(req.headers["test-left"]));
       res.writeHead(200, fixtures.good());
       res.end("id: 1\ndata: x\n\n");
     });
@@ -51,18 +51,18 @@
     const endpoint = fixtures.endpoint("i1", worker.address);
     const { at, service } = engines.known([endpoint]);
     const host = suspendable();
-    const made = dispatching.open(at, () => daemon.address, host.clk);
-    ends.push(made.close, worker.close, daemon.close);
-    made.known.refresh();
-    await engines.until(() => made.known.views(service).every((v) => v.holdings !== undefined));
+    const setup = dispatching.open(at, () => daemon.address, host.clk);
+    cleanups.push(setup.close, worker.close, daemon.close);
+    setup.known.refresh();
+    await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
     const route: catalog.Route = { ...fixtures.ROUTE, kind: "stream", timeoutMs: WAIT_MS };
     const { outlet } = dispatching.recorded();
-    const served = made.dispatcher.serve(dispatching.streamed(service, route, WAIT_MS), outlet);
+    const served = setup.dispatcher.serve(dispatching.streamed(service, route, WAIT_MS), outlet);
     await engines.until(() => daemon.heard.includes("ask"));
-    host.suspend(ASLEEP_MS);
+    host.suspend(SUSPENDED_MS);
     daemon.tell({ kind: "grant", seat: 0, instance: "i1" });
     await served;
-    expect(left).length(1);
-    expect(left[0]).most(WAIT_MS - ASLEEP_MS);
+    expect(reportedLeftMs).length(1);
+    expect(reportedLeftMs[0]).most(WAIT_MS - SUSPENDED_MS);
   });
 });
--- a/test/serving/upstream.test.ts
+++ b/test/serving/upstream.test.ts
@@ -9,29 +9,34 @@
 const MARKS = { instance: "e", rank: 1, leftMs: 500 };
 const HEAD = "HTTP/1.1 200 OK\r\ntest-id: r1\r\ntest-signed: 1\r\n";
 
-/** Sends one request to a worker that answers with raw bytes, and reads what comes of it. */
+/** Sends one request to a worker that answers with raw bytes; resolves to the body, or to the kind of failure. */
 async function outcomeOf(answer: (socket: net.Socket) => void): Promise<string> {
-  const w = await fixtures.rawWorker(answer);
-  const up = new upstream.Upstream(fixtures.WIRE);
+  const worker = await fixtures.rawWorker(answer);
+  const upstreamPools = new upstream.Upstream(fixtures.WIRE);
   try {
-    const e = fixtures.endpoint("e", w.address);
-    const sent = await up.send(fixtures.request(), e, MARKS, new AbortController().signal);
+    const e = fixtures.endpoint("e", worker.address);
+    const sent = await upstreamPools.send(
+      fixtures.request(),
+      e,
+      MARKS,
+      new AbortController().signal,
+    );
     if (sent.kind !== "answer") return sent.kind;
     return (await exchange.whole(sent.body, 1000)).toString();
   } catch {
     return "broke off";
   } finally {
-    up.close();
-    w.close();
+    upstreamPools.close();
+    worker.close();
   }
 }
 
 describe("upstream", () => {
-  it("takes an answer without a length as whole at a plain end", async () => {
+  it("takes an answer without a length as complete when its connection closes normally", async () => {
     expect(await outcomeOf((s) => s.end(`${HEAD}connection: close\r\n\r\nabc`))).equal("abc");
   });
 
-  it("takes an answer without a length as cut at a reset with its last bytes", async () => {
+  it("takes an answer without a length as cut off at a reset that arrives with its last bytes", async () => {
     const cut = await outcomeOf((s) => {
       s.write(`${HEAD}connection: close\r\n\r\nabc`);
       s.resetAndDestroy();
@@ -47,12 +52,12 @@
     expect(cut).equal("broke off");
   });
 
-  it("takes a chunked answer that ends early as cut", async () => {
+  it("takes a chunked answer that ends early as cut off", async () => {
     const head = `${HEAD}connection: close\r\ntransfer-encoding: chunked\r\n\r\n`;
     expect(await outcomeOf((s) => s.end(`${head}3\r\nabc\r\n`))).equal("broke off");
   });
 
-  it("takes an answer shorter than its length as cut", async () => {
+  it("takes an answer shorter than its length as cut off", async () => {
     expect(await outcomeOf((s) => s.end(`${HEAD}content-length: 9\r\n\r\nabc`))).equal("broke off");
   });
 
@@ -76,17 +81,22 @@
     expect(await outcomeOf((s) => s.end(head))).equal("");
   });
 
-  it("knows that nothing was sent where no connection stood", async () => {
-    const w = await fixtures.rawWorker(() => undefined);
-    w.close();
-    const up = new upstream.Upstream(fixtures.WIRE);
-    const e = fixtures.endpoint("e", w.address);
-    const sent = await up.send(fixtures.request(), e, MARKS, new AbortController().signal);
-    up.close();
+  it("reports that nothing was sent if no connection was made", async () => {
+    const worker = await fixtures.rawWorker(() => undefined);
+    worker.close();
+    const upstreamPools = new upstream.Upstream(fixtures.WIRE);
+    const e = fixtures.endpoint("e", worker.address);
+    const sent = await upstreamPools.send(
+      fixtures.request(),
+      e,
+      MARKS,
+      new AbortController().signal,
+    );
+    upstreamPools.close();
     expect(sent.kind).equal("unsent");
   });
 
-  it("does not know what ran behind bytes that are no answer", async () => {
+  it("reports an unknown outcome after bytes that are no HTTP answer", async () => {
     expect(await outcomeOf((s) => s.end("rubbish\r\n\r\n"))).equal("unknown");
   });
 });
--- a/test/serving/waiting-stream.ts
+++ b/test/serving/waiting-stream.ts
@@ -1,5 +1,5 @@
 /**
- * A request of a stream that waits for a seat, while a test changes what its host knows.
+ * A streaming request that waits for a seat while a test changes what its host knows.
  * @module
  */
 import * as clock from "../../src/host/clock.js";
@@ -11,24 +11,25 @@
 import * as fixtures from "./fixtures.js";
 import * as telling from "./telling.js";
 
-/** Its engine has the request's adapter. */
+/** Adapter of the request, which its engine has loaded. */
 const ADAPTER = "m/a";
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Closes what the current test has opened, even if it fails. */
+const cleanups: (() => void)[] = [];
 
-/** Ends all parts; to be called after each test. */
+/** Closes everything; to be called after each test. */
 export function endAll(): void {
-  for (const end of ends.splice(0)) end();
+  for (const cleanup of cleanups.splice(0)) cleanup();
 }
 
+/** Options of the request. */
 export interface Setup {
-  /** What its route has besides that it is a stream's. */
+  /** Fields of the request's route, which is a streaming one. */
   readonly route: Partial<catalog.Route> & Pick<catalog.Route, "timeoutMs">;
-  readonly authenticate?: (a: ask.Ask) => authentication.Verdict;
+  readonly authenticate?: (req: ask.Ask) => authentication.Verdict;
 }
 
-/** Begins one; resolves once its seat is asked for. */
+/** Starts the request; resolves when it has asked for a seat. */
 export async function begin({ route, authenticate }: Setup) {
   let runs = 0;
   const worker = await fixtures.worker((_req, res) => {
@@ -36,35 +37,35 @@
     res.writeHead(200, fixtures.good());
     res.end("id: 1\ndata: x\n\n");
   });
-  ends.push(worker.close);
+  cleanups.push(worker.close);
   const daemon = await telling.open(telling.state("i1"), telling.holdings(ADAPTER));
-  ends.push(daemon.close);
+  cleanups.push(daemon.close);
   const endpoint = fixtures.endpoint("i1", worker.address);
-  const { at: first, service } = engines.known([endpoint]);
-  let at = first;
-  const made = dispatching.open(
-    () => at,
+  const { at: initial, service } = engines.known([endpoint]);
+  let current = initial;
+  const setup = dispatching.open(
+    () => current,
     () => daemon.address,
     clock.system,
     fixtures.WIRE,
     authenticate,
   );
-  ends.push(made.close);
-  made.known.refresh();
-  await engines.until(() => made.known.views(service).every((v) => v.holdings !== undefined));
+  cleanups.push(setup.close);
+  setup.known.refresh();
+  await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
   const { outlet, seen } = dispatching.recorded();
   const streamed: catalog.Route = { ...fixtures.ROUTE, kind: "stream", ...route };
-  const a = dispatching.streamed(service, streamed, route.timeoutMs);
-  const served = made.dispatcher.serve(a, outlet);
+  const req = dispatching.streamed(service, streamed, route.timeoutMs);
+  const served = setup.dispatcher.serve(req, outlet);
   await engines.until(() => daemon.heard.includes("ask"));
   return {
     daemon,
     endpoint,
-    notices: made.notices,
+    notices: setup.notices,
     change: (step: catalog.Step): void => {
-      at = catalog.step(at, step);
+      current = catalog.step(current, step);
     },
-    /** Resolves once it is over: whether it ran, how often its worker ran it, and what its caller was told. */
+    /** Resolves when the request has ended: whether it ran, how often its worker ran it, and what its caller received. */
     over: async () => ({ ran: await served, runs, seen }),
   };
 }
--- a/test/serving/withheld.test.ts
+++ b/test/serving/withheld.test.ts
@@ -8,19 +8,19 @@
 
 const { expect } = chai;
 
-/** A service to whose workers each host keeps two connections. */
+/** A service whose `connections` let each host open two connections to a worker. */
 const SERVICE: catalog.Service = { ...fixtures.SERVICE, connections: 16 };
 const CONNECTIONS = 2;
-/** Milliseconds that a worker takes. */
+/** Milliseconds that a worker takes to answer. */
 const WORK_MS = 300;
-/** Milliseconds after which a request waits for a connection. */
-const BY_NOW_MS = 50;
+/** Milliseconds after which a request is certain to be waiting for a connection. */
+const SETTLE_MS = 50;
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Closes what the current test has opened, even if it fails. */
+const cleanups: (() => void)[] = [];
 
-/** A worker that takes its time, and counts what arrives. */
-async function slow(id: string) {
+/** A worker that answers after a delay and counts the requests that arrive. */
+async function slowWorker(id: string) {
   const seen = { arrivals: 0 };
   const worker = await fixtures.worker((req, res) => {
     seen.arrivals++;
@@ -29,14 +29,14 @@
       res.end("whole");
     }, WORK_MS);
   });
-  ends.push(worker.close);
+  cleanups.push(worker.close);
   return { seen, endpoint: fixtures.endpoint(id, worker.address) };
 }
 
-/** A worker to which all connections are in use, and one more request that waits for one. */
-async function waiting() {
-  const first = await slow("w1");
-  let at = catalog.steps(catalog.EMPTY, [
+/** Opens a dispatcher over a worker all of whose connections are in use, so that further requests wait for one. */
+async function openWithBusyConnections() {
+  const first = await slowWorker("w1");
+  let current = catalog.steps(catalog.EMPTY, [
     {
       kind: "config",
       config: { ...fixtures.CONFIG, services: new Map([[SERVICE.name, SERVICE]]) },
@@ -44,81 +44,81 @@
     { kind: "endpoint", endpoint: first.endpoint },
   ]).at;
   let verdict: authentication.Verdict = { kind: "open" };
-  const made = dispatching.open(
-    () => at,
+  const setup = dispatching.open(
+    () => current,
     undefined,
     undefined,
     undefined,
     () => verdict,
   );
-  ends.push(made.close);
-  const serve = (id: string, over: Partial<ask.Ask> = {}): Promise<readonly string[]> => {
+  cleanups.push(setup.close);
+  const serve = (id: string, overrides: Partial<ask.Ask> = {}): Promise<readonly string[]> => {
     const { outlet, seen } = dispatching.recorded();
     const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
     const headers = { "test-id": id };
-    const a = fixtures.request({ service: SERVICE, meta, headers, ...over });
-    return made.dispatcher.serve(a, outlet).then(() => seen);
+    const req = fixtures.request({ service: SERVICE, meta, headers, ...overrides });
+    return setup.dispatcher.serve(req, outlet).then(() => seen);
   };
-  const before = Array.from({ length: CONNECTIONS }, (_, n) => serve(`before${n}`));
-  await timers.setTimeout(BY_NOW_MS);
+  const occupying = Array.from({ length: CONNECTIONS }, (_, n) => serve(`before${n}`));
+  await timers.setTimeout(SETTLE_MS);
   return {
     first,
     serve,
-    /** Serves one that waits by now. */
-    wait: async (id: string, over: Partial<ask.Ask> = {}) => {
-      const end = serve(id, over);
-      await timers.setTimeout(BY_NOW_MS);
+    /** Serves a request; resolves when it waits for a connection. */
+    wait: async (id: string, overrides: Partial<ask.Ask> = {}) => {
+      const end = serve(id, overrides);
+      await timers.setTimeout(SETTLE_MS);
       return { end };
     },
     step: (change: catalog.Step) => {
-      at = catalog.step(at, change);
+      current = catalog.step(current, change);
     },
     judge: (v: authentication.Verdict) => {
       verdict = v;
     },
-    settled: () => Promise.all(before),
+    settled: () => Promise.all(occupying),
   };
 }
 
 describe("a request that waits for a connection", () => {
   afterEach(() => {
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
   it("goes to another worker when the one that it waits for begins to leave", async () => {
-    const site = await waiting();
-    const { end } = await site.wait("r");
-    const second = await slow("w2");
-    site.step({ kind: "endpoint", endpoint: second.endpoint });
-    site.step({ kind: "endpoint", endpoint: { ...site.first.endpoint, leaving: true } });
+    const setup = await openWithBusyConnections();
+    const { end } = await setup.wait("r");
+    const second = await slowWorker("w2");
+    setup.step({ kind: "endpoint", endpoint: second.endpoint });
+    setup.step({ kind: "endpoint", endpoint: { ...setup.first.endpoint, leaving: true } });
     expect(await end).deep.equal(["answer 200"]);
-    expect([site.first.seen.arrivals, second.seen.arrivals]).deep.equal([CONNECTIONS, 1]);
+    expect([setup.first.seen.arrivals, second.seen.arrivals]).deep.equal([CONNECTIONS, 1]);
   });
 
   it("is not sent once its key is taken away", async () => {
-    const site = await waiting();
-    const { end } = await site.wait("r");
-    site.judge({ kind: "unknown", why: "the key is unknown" });
+    const setup = await openWithBusyConnections();
+    const { end } = await setup.wait("r");
+    setup.judge({ kind: "unknown", why: "the key is unknown" });
     expect(await end).deep.equal(["refuse 401"]);
-    await site.settled();
-    expect(site.first.seen.arrivals).equal(CONNECTIONS);
+    await setup.settled();
+    expect(setup.first.seen.arrivals).equal(CONNECTIONS);
   });
 
-  it("was not run where its time is over before there is one", async () => {
-    const site = await waiting();
-    const { end } = await site.wait("r", { dueAt: performance.now() + 100 });
+  it("counts as not run if its deadline passes before there is one", async () => {
+    const setup = await openWithBusyConnections();
+    const { end } = await setup.wait("r", { dueAt: performance.now() + 100 });
     expect(await end).deep.equal(["refuse 503"]);
-    await site.settled();
-    expect(site.first.seen.arrivals).equal(CONNECTIONS);
+    await setup.settled();
+    expect(setup.first.seen.arrivals).equal(CONNECTIONS);
   });
 
-  it("leaves its connection to the next request where it is not sent", async () => {
-    const site = await waiting();
-    const { end } = await site.wait("r");
-    site.judge({ kind: "unknown", why: "the key is unknown" });
+  it("leaves its connection to the next request if it is not sent", async () => {
+    const setup = await openWithBusyConnections();
+    const { end } = await setup.wait("r");
+    setup.judge({ kind: "unknown", why: "the key is unknown" });
     await end;
-    site.judge({ kind: "open" });
-    expect(await site.serve("next")).deep.equal(["answer 200"]);
-    expect(site.first.seen.arrivals).equal(CONNECTIONS + 1);
+    setup.judge({ kind: "open" });
+    expect(await setup.serve("next")).deep.equal(["answer 200"]);
+    expect(setup.first.seen.arrivals).equal(CONNECTIONS + 1);
   });
 });
