--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -189,8 +189,8 @@
   }
 
   /** Logs a send that did not lead to an answer. */
-  private logFailedSend(send: SendState, sentence: string): void {
-    this.deps.log.warn(sentence, {
+  private logFailedSend(send: SendState, message: string): void {
+    this.deps.log.warn(message, {
       request: send.req.meta.id,
       endpoint: send.endpoint.id,
       send: send.p.sends,
--- a/test/serving/retry-budget.test.ts
+++ b/test/serving/retry-budget.test.ts
@@ -7,7 +7,7 @@
 
 const OPTS: retries.Options = { ratio: 0.2, slack: 52, windowMs: 10_000 };
 /** Age in ms from which a process knows the number of hosts. */
-const KNOWN_MS = 200;
+const HOST_COUNT_KNOWN_MS = 200;
 
 /** Fleets of a few hosts, of tens and of hundreds, with their requests per second. */
 const FLEETS = [
@@ -18,7 +18,7 @@
 
 type Fleet = (typeof FLEETS)[number];
 
-function plan(f: Fleet, over: Partial<retrying.Plan>): retrying.Plan {
+function plan(f: Fleet, overrides: Partial<retrying.Plan>): retrying.Plan {
   return {
     ...f,
     opts: OPTS,
@@ -26,14 +26,14 @@
     bursts: [],
     wanted: [[6000, 34_000]],
     events: [],
-    told: (alive, ageMs) => (ageMs < KNOWN_MS ? undefined : alive),
+    told: (alive, ageMs) => (ageMs < HOST_COUNT_KNOWN_MS ? undefined : alive),
     arrivesInMs: 0,
     seed: 1,
-    ...over,
+    ...overrides,
   };
 }
 
-function all(f: Fleet): readonly number[] {
+function allHosts(f: Fleet): readonly number[] {
   return Array.from({ length: f.hosts }, (_, i) => i);
 }
 
@@ -41,52 +41,52 @@
 function killedTogether(f: Fleet): readonly retrying.Event[] {
   const times = [8000, 9500, 11_000, 12_500, 14_000, 15_500];
   return times.flatMap((at) =>
-    all(f).map((host) => ({ kind: "kill", at, host, downMs: 600 }) as const),
+    allHosts(f).map((host) => ({ kind: "kill", at, host, downMs: 600 }) as const),
   );
 }
 
 /** Hosts are stopped one after the other; each process keeps serving beside its successor. */
 function stoppedInTurn(f: Fleet): readonly retrying.Event[] {
-  return all(f).map(
+  return allHosts(f).map(
     (host) =>
       ({ kind: "stop", at: 8000 + (host * 10_000) / f.hosts, host, graceMs: 8000 }) as const,
   );
 }
 
 /** Half of the hosts disappear for good, one after the other. */
-function goneInTurn(f: Fleet): readonly retrying.Event[] {
-  return all(f)
+function halfDisappearInTurn(f: Fleet): readonly retrying.Event[] {
+  return allHosts(f)
     .slice(f.hosts / 2)
     .map((host, i) => ({ kind: "gone", at: 8000 + (i * 10_000) / f.hosts, host }) as const);
 }
 
 /** Three quarters of the hosts disappear at once, and their requests move to the others. */
-function mostGo(f: Fleet): readonly retrying.Event[] {
+function mostDisappear(f: Fleet): readonly retrying.Event[] {
   const stay = Math.ceil(f.hosts / 4);
-  const gone = all(f).slice(stay);
+  const gone = allHosts(f).slice(stay);
   return [
-    { kind: "move", at: 21_000, to: all(f).slice(0, stay) },
+    { kind: "move", at: 21_000, to: allHosts(f).slice(0, stay) },
     ...gone.map((host) => ({ kind: "gone", at: 21_000, host }) as const),
   ];
 }
 
 /** All hosts are stopped at once; each process keeps serving beside its successor. */
 function stoppedTogether(f: Fleet): readonly retrying.Event[] {
-  return all(f).map((host) => ({ kind: "stop", at: 20_000, host, graceMs: 8000 }) as const);
+  return allHosts(f).map((host) => ({ kind: "stop", at: 20_000, host, graceMs: 8000 }) as const);
 }
 
 /** All requests move from one half of the hosts to the other. */
-function movedOn(f: Fleet): readonly retrying.Event[] {
+function movedToOtherHalf(f: Fleet): readonly retrying.Event[] {
   const half = f.hosts / 2;
   return [
-    { kind: "move", at: 0, to: all(f).slice(0, half) },
-    { kind: "move", at: 10_000, to: all(f).slice(half) },
+    { kind: "move", at: 0, to: allHosts(f).slice(0, half) },
+    { kind: "move", at: 10_000, to: allHosts(f).slice(half) },
   ];
 }
 
 /** A quarter of the hosts are stalled, one after the other. */
 function frozenInTurn(f: Fleet): readonly retrying.Event[] {
-  return all(f)
+  return allHosts(f)
     .slice(0, Math.ceil(f.hosts / 4))
     .map((host, i) => ({ kind: "freeze", at: 8000 + i * 100, host, ms: 4000 }) as const);
 }
@@ -101,21 +101,21 @@
     ms: 40_000,
     wanted: [[27_500, 40_000]],
   }),
-  "while hosts disappear for good": (f) => ({ events: goneInTurn(f) }),
-  "while most hosts go at once": (f) => ({ events: mostGo(f), wanted: [[20_000, 34_000]] }),
+  "while hosts disappear for good": (f) => ({ events: halfDisappearInTurn(f) }),
+  "while most hosts go at once": (f) => ({ events: mostDisappear(f), wanted: [[20_000, 34_000]] }),
   "while requests move from some hosts to others": (f) => ({
-    events: movedOn(f),
+    events: movedToOtherHalf(f),
     wanted: [
       [9900, 10_000],
       [19_900, 20_000],
     ],
   }),
   "while all hosts stand still at once": (f) => ({
-    events: all(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
+    events: allHosts(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
     wanted: [[20_000, 34_000]],
   }),
   "long after all hosts stood still": (f) => ({
-    events: all(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
+    events: allHosts(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
     ms: 40_000,
     wanted: [[29_000, 40_000]],
   }),
@@ -138,10 +138,10 @@
 };
 
 describe("the retry budget of all hosts together is not exceeded", () => {
-  for (const [title, over] of Object.entries(CASES)) {
+  for (const [title, overrides] of Object.entries(CASES)) {
     for (const f of FLEETS) {
       it(`${title}: ${f.hosts} hosts`, () => {
-        const p = plan(f, over(f));
+        const p = plan(f, overrides(f));
         expect(retrying.excess(retrying.play(p), p.opts)).most(0);
       }).timeout(30_000);
     }
@@ -170,7 +170,7 @@
     const burst = fc
       .tuple(at, ms, fc.constantFrom(0, 0.2, 3, 6))
       .map(([from, lasts, times]) => [from, from + lasts, times] as const);
-    const days = fc.constantFrom(few, more).chain((f) =>
+    const cases = fc.constantFrom(few, more).chain((f) =>
       fc.record({
         f: fc.constant(f),
         events: fc.array(event(fc.nat(f.hosts - 1)), { maxLength: 40 }),
@@ -180,8 +180,8 @@
       }),
     );
     fc.assert(
-      fc.property(days, ({ f, ...over }) => {
-        const p = plan(f, { ...over, ms: 45_000, arrivesInMs: 700, stepMs: 50 });
+      fc.property(cases, ({ f, ...overrides }) => {
+        const p = plan(f, { ...overrides, ms: 45_000, arrivesInMs: 700, stepMs: 50 });
         expect(retrying.excess(retrying.play(p), p.opts)).most(0);
       }),
       { numRuns: 100 },
--- a/test/serving/retrying.ts
+++ b/test/serving/retrying.ts
@@ -71,9 +71,9 @@
 }
 
 /** Times at which requests arrived and retries reached their endpoints. */
-export interface Record {
-  readonly asked: readonly number[];
-  readonly retried: readonly number[];
+export interface Trace {
+  readonly requestsAt: readonly number[];
+  readonly retriesAt: readonly number[];
 }
 
 interface Process {
@@ -97,10 +97,10 @@
 const SERVICE = "llm";
 
 /** Runs a simulation. */
-export function play(plan: Plan): Record {
+export function play(plan: Plan): Trace {
   let now = 0;
-  const asked: number[] = [];
-  const retried: number[] = [];
+  const requestsAt: number[] = [];
+  const retriesAt: number[] = [];
   const rng = generators.xoroshiro128plus(plan.seed);
   const startProcess = (): Process => {
     const clk = new ProcessClock(() => now);
@@ -125,7 +125,7 @@
     }
     for (const h of hosts) startAndEndProcesses(h, now, startProcess);
     for (requestsDue += (perSNow() * plan.stepMs) / 1000; requestsDue >= 1; requestsDue--) {
-      asked.push(now);
+      requestsAt.push(now);
       const h = hosts[receivers[uniform.uniformInt(rng, 0, receivers.length - 1)] ?? 0];
       if (h) h.waiting++;
     }
@@ -133,8 +133,8 @@
     const isWanted = plan.wanted.some(([from, until]) => now >= from && now < until);
     for (const h of hosts) if (h.frozenUntil <= now) serve(h, alive, isWanted);
   }
-  retried.sort((a, b) => a - b);
-  return { asked, retried };
+  retriesAt.sort((a, b) => a - b);
+  return { requestsAt, retriesAt };
 
   function perSNow(): number {
     const [, , times = 1] = plan.bursts.find(([from, until]) => now >= from && now < until) ?? [];
@@ -153,7 +153,7 @@
       const told = plan.told(alive, now - p.startedAt);
       if (told !== undefined) p.counts = peak.read(p.counts, told, now, endpoints.HOSTS_MS);
       const most = p.counts && peak.highest(p.counts);
-      while (isWanted && p.budget.take(SERVICE, most).from) retried.push(now + arrivesInMs());
+      while (isWanted && p.budget.take(SERVICE, most).from) retriesAt.push(now + arrivesInMs());
       // A process reads the requests that waited for it before its timers fire.
       p.clk.run();
     }
@@ -199,7 +199,7 @@
 }
 
 /** Retries by which the worst window exceeds the budget; 0 or less if the budget is kept. */
-export function excess(r: Record, opts: retries.Options): number {
-  const worst = rule.worst(r.asked, r.retried, opts);
+export function excess(trace: Trace, opts: retries.Options): number {
+  const worst = rule.worst(trace.requestsAt, trace.retriesAt, opts);
   return worst ? worst.retries - worst.allowed : -Infinity;
 }
