--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -36,7 +36,7 @@
   readonly authenticate: sendChecks.Deps["authenticate"];
 }
 
-/** Least milliseconds before the deadline with which another send is tried. */
+/** Least milliseconds that must remain for another send to be tried, and for a seat to be waited for. */
 const MIN_REMAINING_MS = 20;
 /** Times that one request may be withheld from a worker chosen for it; beyond that it is given up. */
 const MAX_WITHHELD = 6;
--- a/src/serving/progress.ts
+++ b/src/serving/progress.ts
@@ -20,8 +20,8 @@
   readonly breakOff: () => void;
   /** Sends a whole answer. */
   readonly answer: (status: number, headers: headers.Headers, body: Buffer) => void;
-  /** Sends a refusal; `comeBackMs` is given only if the request was not run. */
-  readonly refuse: (status: number, message: string, comeBackMs?: number) => void;
+  /** Sends a refusal; `retryAfterMs` is given only if the request was not run. */
+  readonly refuse: (status: number, message: string, retryAfterMs?: number) => void;
 }
 
 /** How a request ended, for the log and the meters. */
@@ -34,7 +34,7 @@
   sends: number;
   /** Sends that ran or may have run. */
   runs: number;
-  /** Ids of the endpoints that were tried. */
+  /** Ids of the endpoints already tried; cleared when none is left to try. */
   readonly tried: Set<string>;
   /** Ids of the engines that sent the request back at once because of their queue. */
   readonly diverted: Set<string>;
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -149,7 +149,7 @@
     }
   }
 
-  /** The request was withheld: when it could have been written, it was no longer to be sent. */
+  /** Handles a request that was withheld before its first byte was written. */
   private handleWithheld(send: SendState): progress.Ending | undefined {
     const { req, res, p } = send;
     send.grants.permit.giveBack();
@@ -160,7 +160,7 @@
       : undefined;
   }
 
-  /** Nothing of the request was sent: no connection was made, or the request was given up before. */
+  /** Handles a request of which nothing was sent: no connection was made, or it was given up before. */
   private handleUnsent(send: SendState, why: string): void {
     const isStoppedHere = send.res.gone.aborted || send.stopSignal.aborted;
     send.grants.permit.giveBack();
--- a/test/serving/dispatch.test.ts
+++ b/test/serving/dispatch.test.ts
@@ -14,7 +14,7 @@
 interface Seen {
   status: number;
   body: string;
-  comeBackMs: number | undefined;
+  retryAfterMs: number | undefined;
   end: "whole" | "broken" | "open";
 }
 
@@ -39,16 +39,16 @@
       seen.body = body.toString();
       seen.end = "whole";
     },
-    refuse: (status, _message, comeBackMs) => {
+    refuse: (status, _message, retryAfterMs) => {
       seen.status = status;
-      seen.comeBackMs = comeBackMs;
+      seen.retryAfterMs = retryAfterMs;
       seen.end = "whole";
     },
   };
 }
 
 function nothingSeen(): Seen {
-  return { status: 0, body: "", comeBackMs: undefined, end: "open" };
+  return { status: 0, body: "", retryAfterMs: undefined, end: "open" };
 }
 
 function catalogOf(addresses: readonly string[]): catalog.Catalog {
@@ -93,7 +93,7 @@
     });
     const seen = await serve([worker.address]);
     worker.close();
-    expect(seen).deep.equal({ status: 200, body: "fine", comeBackMs: undefined, end: "whole" });
+    expect(seen).deep.equal({ status: 200, body: "fine", retryAfterMs: undefined, end: "whole" });
   });
 
   it("tries another endpoint after one that did not run the request", async () => {
@@ -121,7 +121,7 @@
     });
     const seen = await serve([breaks.address, breaks.address]);
     breaks.close();
-    expect([seen.status, seen.comeBackMs, arrivals]).deep.equal([502, undefined, 1]);
+    expect([seen.status, seen.retryAfterMs, arrivals]).deep.equal([502, undefined, 1]);
   });
 
   it("retries a repeatable request as often as the route allows", async () => {
@@ -200,7 +200,7 @@
     const began = performance.now();
     const seen = await serve([]);
     expect(seen.status).equal(503);
-    expect(seen.comeBackMs).above(0).below(400);
+    expect(seen.retryAfterMs).above(0).below(400);
     expect(performance.now() - began).below(fixtures.ROUTE.targetMs / 4 + 60);
   });
 
