--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -19,8 +19,11 @@
 import type * as upstream from "./upstream.js";
 import type * as workerNotices from "./worker-notices.js";
 
+/** Settings of a dispatcher. */
 export interface Options {
+  /** Failure domain of this host. */
   readonly domain: string;
+  /** Retry budget of each service. */
   readonly retries: retries.Options;
 }
 
--- a/src/serving/retries.ts
+++ b/src/serving/retries.ts
@@ -49,6 +49,7 @@
   readonly fromSlack: readonly number[];
 }
 
+/** Account of a process that has just started. */
 export const EMPTY: Account = { earned: [], fromSlack: [] };
 
 /** Milliseconds until a token expires. */
--- a/src/serving/watch.ts
+++ b/src/serving/watch.ts
@@ -58,7 +58,7 @@
     controller.abort();
   };
   const onEndpointGone = (): void => {
-    // If nothing was passed on yet, the send is broken off without a retry too: the caller learns of the failure at once.
+    // If nothing was passed on yet, the send is broken off even without a retry, so that the caller is told at once.
     if (!p.begun || deps.mayGoOn()) stop();
   };
   const unwatch = deps.endpoints.watch(id, onEndpointGone);
