--- a/src/serving/allowance.ts
+++ b/src/serving/allowance.ts
@@ -1,79 +1,90 @@
 /**
- * What is left of a total over all hosts at one place that keeps it, be it a team's usage cap or a worker's limit: a token
- * bucket of which each place has a part.
+ * The token bucket in which one owner of a total (a team's usage cap or a worker's rate limit,
+ * shared by all hosts) keeps its part of that total.
  *
- * The load that this answers is callers that ask for many times the total at any number of hosts, while hosts and places
- * come and go. The parts of all places add up to one at most, so however the hosts are split, no more flows in than
- * the cap allows. A place that is new begins with nothing, so a restart gives neither burst nor overdraft anew. Pure.
+ * It bounds callers that ask for many times the total at any number of hosts, while hosts and
+ * owners come and go. The parts of all owners add up to one at most, so however the hosts are split
+ * between owners, the buckets together fill no faster than the cap. The bucket of a new owner
+ * starts empty, so a restart grants neither the burst nor the overdraft a second time. Pure.
  * @module
  */
 import * as budget from "../store/budget.js";
 
-/** A cap in units of whatever it counts: those a second, and those that may come at once besides. */
+/** A cap: units (requests or tokens) per second, and the burst that may be used at once. */
 export interface Cap {
   readonly perS: number;
   readonly burst: number;
 }
 
-/** What is left at a moment; below 0 where the overdraft is used. */
+/** Units left in a bucket at one moment; below 0 while the overdraft is in use. */
 export interface Allowance {
   readonly level: number;
-  /** Steady ms that `level` holds for. */
+  /** Steady ms at which `level` was computed. */
   readonly at: number;
 }
 
-/** What came of asking for some requests, in their order. */
+/** The result of drawing units for some requests, in order. */
 export interface Drawn {
   readonly left: Allowance;
-  /** Requests that are let in, from the first on. */
+  /** Number of requests admitted; they are the first ones of the list. */
   readonly granted: number;
-  /** Milliseconds until each of them may go on. */
+  /** Milliseconds that each admitted request waits before it is sent. */
   readonly delaysMs: readonly number[];
-  /** Milliseconds until the next of them would be let in; undefined where this place can't ever tell. */
+  /**
+   * Milliseconds until the first request that was not admitted could be; undefined if this owner's
+   * part is too small ever to admit it.
+   */
   readonly waitMs: number | undefined;
 }
 
 const MS_PER_S = 1000;
-/** Milliseconds of a cap's rate that may come at once, where its burst is smaller. */
-const LEAST_BURST_MS = 200;
-/** Part of the hosts above which a place decides alone; no two places have it. */
-const MOST = 0.5;
+/** Minimum burst, in milliseconds of the cap's rate; it applies to caps with a smaller burst. */
+const MIN_BURST_MS = 200;
+/**
+ * An owner with more than this part of the hosts may admit requests larger than its bucket. No two
+ * owners can have more than half.
+ */
+const MAJORITY = 0.5;
 
-/** A place that has just begun to keep a cap: nothing is left, and `overdraft` counts as used by the one before. */
+/**
+ * The bucket of an owner that has just taken over a cap: empty, with the overdraft counted as used
+ * by the previous owner.
+ */
 export function begun(now: number, overdraft: number): Allowance {
   return { level: -overdraft, at: now };
 }
 
-function sizeOf(cap: Cap, part: number): number {
-  return part * Math.max(cap.burst, (cap.perS * LEAST_BURST_MS) / MS_PER_S);
+function bucketSize(cap: Cap, part: number): number {
+  return part * Math.max(cap.burst, (cap.perS * MIN_BURST_MS) / MS_PER_S);
 }
 
-/** An allowance as the bucket of a place with `part` of the hosts. */
+/** A balance as the token bucket of an owner with `part` of the hosts. */
 function bucketOf(a: Allowance, cap: Cap, part: number): budget.Bucket {
-  return { rate: cap.perS * part, size: sizeOf(cap, part), tokens: a.level, at: a.at };
+  return { rate: cap.perS * part, size: bucketSize(cap, part), tokens: a.level, at: a.at };
 }
 
 /**
- * The allowance at `now`, with what flowed in while the place had `part` of the hosts. What is there beyond that part
- * stays: hosts that all reconnect must not take it away.
+ * The balance at `now`, refilled at the rate for `part` of the hosts. Units above the bucket size
+ * for that part are kept, so that hosts reconnecting all at once don't lose them.
  */
 export function flow(a: Allowance, cap: Cap, part: number, now: number): Allowance {
   const { tokens, at } = budget.fill(bucketOf(a, cap, part), now);
-  return { level: Math.min(Math.max(a.level, tokens), sizeOf(cap, 1)), at };
+  return { level: Math.min(Math.max(a.level, tokens), bucketSize(cap, 1)), at };
 }
 
-/** What is asked for. */
+/** A request to draw units. */
 export interface Wish {
-  /** What each request counts, in the order in which they are to be let in. */
+  /** Units of each request, in the order in which they are to be admitted. */
   readonly wants: readonly number[];
-  /** Milliseconds for which a request may wait for what flows in by then; it is taken at once. */
+  /** Milliseconds that a request may wait for future refill; the units are taken at once. */
   readonly patienceMs: number;
 }
 
 /**
- * Asks for requests. What they exceed the cap by is `overdraft` at most, over all places together, and is made up for by
- * those after them; so a team whose cap is hardly larger than one request, and whose requests come a few at once, is not
- * shut out.
+ * Draws units for requests, in order, up to the first that can't be admitted. Over all owners
+ * together they may exceed the cap by `overdraft` at most, which later requests pay back. So a team
+ * whose cap is hardly larger than one request, and whose requests arrive a few at once, is still
+ * served.
  */
 export function draw(
   a: Allowance,
@@ -87,8 +98,8 @@
   for (const [granted, units] of wants.entries()) {
     const needed = neededFor(units, cap, part, overdraft);
     if (needed === undefined) return { left, granted, delaysMs, waitMs: undefined };
-    const there = budget.take(bucketOf(left, cap, part), left.at, needed);
-    const waitMs = there.ok ? 0 : there.waitMs;
+    const taken = budget.take(bucketOf(left, cap, part), left.at, needed);
+    const waitMs = taken.ok ? 0 : taken.waitMs;
     if (waitMs > patienceMs) return { left, granted, delaysMs, waitMs };
     delaysMs.push(waitMs);
     left = { ...left, level: left.level - units };
@@ -96,16 +107,19 @@
   return { left, granted: wants.length, delaysMs, waitMs: 0 };
 }
 
-/** What must be there for a request of `units`; undefined where a place with `part` never has as much. */
+/**
+ * Units that the bucket must hold before a request of `units` is admitted; undefined if the bucket
+ * of an owner with `part` can never hold as many.
+ */
 function neededFor(units: number, cap: Cap, part: number, overdraft: number): number | undefined {
   if (part <= 0) return undefined;
   const needed = units - overdraft * part;
-  const size = sizeOf(cap, part);
+  const size = bucketSize(cap, part);
   if (needed <= size) return needed;
-  return part > MOST ? size : undefined;
+  return part > MAJORITY ? size : undefined;
 }
 
-/** Gives back what was let in and did not run. */
+/** Returns the units of a request that was admitted but did not run. */
 export function refund(a: Allowance, cap: Cap, units: number): Allowance {
-  return { ...a, level: Math.min(sizeOf(cap, 1), a.level + units) };
+  return { ...a, level: Math.min(bucketSize(cap, 1), a.level + units) };
 }
--- a/src/serving/autopsy.ts
+++ b/src/serving/autopsy.ts
@@ -1,6 +1,7 @@
 /**
- * Tells a worker that has ended from one whose connection was cut. A cut connection is no end: links are reset, hosts
- * lose power, and a worker that still listens has ended under nothing.
+ * Tells whether a worker whose connection broke has crashed. A broken connection alone does not
+ * show that: connections are reset and hosts lose power. A worker that still listens has not
+ * crashed.
  * @module
  */
 import * as net from "node:net";
@@ -9,49 +10,53 @@
 import type * as catalog from "./catalog.js";
 
 /**
- * Milliseconds for the answer to a connection attempt. A host whose process has ended refuses within a round trip, a few ms
- * between failure domains; a longer silence says nothing of the process. A request that may be sent on waits for it.
+ * Timeout in milliseconds of the connection attempt. If the worker's process has ended, its host
+ * refuses the connection within a round trip, a few ms between failure domains; a longer silence
+ * says nothing about the process. A request that may be sent on waits for the result.
  */
-const ANSWER_MS = 150;
-/** Milliseconds for which a finding holds, for all requests that broke off together. */
-const KEPT_MS = 500;
+const CONNECT_TIMEOUT_MS = 150;
+/** Milliseconds for which a result is shared by all requests that broke off at the same time. */
+const CACHE_MS = 500;
 const REFUSED = "ECONNREFUSED";
 
 export class Autopsy {
-  private readonly findings = new Map<string, Promise<boolean>>();
+  private readonly results = new Map<string, Promise<boolean>>();
 
   constructor(private readonly clk: clock.Clock) {}
 
-  /** Whether nobody listens any more where an endpoint did; one connection attempt for all that ask together. */
+  /**
+   * Whether nothing listens any more at an endpoint's address; concurrent callers share one
+   * connection attempt.
+   */
   hasEnded(e: catalog.Endpoint): Promise<boolean> {
-    const known = this.findings.get(e.id);
+    const known = this.results.get(e.id);
     if (known) return known;
-    const found = refuses(e.address, this.clk);
-    this.findings.set(e.id, found);
-    this.clk.after(KEPT_MS, () => {
-      this.findings.delete(e.id);
+    const result = refuses(e.address, this.clk);
+    this.results.set(e.id, result);
+    this.clk.after(CACHE_MS, () => {
+      this.results.delete(e.id);
     });
-    return found;
+    return result;
   }
 }
 
-/** Whether a host answers a connection attempt with a refusal. */
+/** Whether a connection attempt is refused. */
 function refuses(address: string, clk: clock.Clock): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = net.connect(addresses.parse(address));
-    const over = (found: boolean): void => {
+    const finish = (result: boolean): void => {
       timer.cancel();
       socket.destroy();
-      resolve(found);
+      resolve(result);
     };
-    const timer = clk.after(ANSWER_MS, () => {
-      over(false);
+    const timer = clk.after(CONNECT_TIMEOUT_MS, () => {
+      finish(false);
     });
     socket.once("connect", () => {
-      over(false);
+      finish(false);
     });
     socket.once("error", (err: NodeJS.ErrnoException) => {
-      over(err.code === REFUSED);
+      finish(err.code === REFUSED);
     });
   });
 }
--- a/src/serving/availability.ts
+++ b/src/serving/availability.ts
@@ -1,49 +1,53 @@
 /**
- * Whether one start of a worker takes requests, as far as it says itself: the limit that it names, whether it leaves, and
- * until when it wants nothing from this host. Answers may overtake one another, so that it leaves is never taken back, and of
- * several pauses that it asks for the one that ends last counts. Pure.
+ * Whether a worker incarnation accepts requests, according to its own announcements: its rate
+ * limit, whether it is leaving, and until when it is paused for this host. Answers may overtake one
+ * another; therefore leaving is never taken back, and of several pauses the one that ends last is
+ * in force. Pure.
  * @module
  */
 import * as limits from "./named-limits.js";
 import type * as notices from "./notices.js";
 
-/** What is known of one start of a worker; times are steady ms. */
+/** The known state of one worker incarnation; times are steady ms. */
 export interface Availability {
   readonly limit?: limits.Limit | undefined;
-  /** When it was first known that it leaves. */
+  /** When it was first known to be leaving. */
   readonly leavingAt?: number | undefined;
   readonly pause?: Pause | undefined;
 }
 
-/** It wanted nothing from this host for a while, and has not been seen to take requests again. */
+/**
+ * A pause that the worker requested from this host, kept until it is seen to accept requests again.
+ */
 export interface Pause {
   readonly until: number;
-  /** When a request was last sent to it since. */
+  /** When a request was last sent to it since the pause began. */
   readonly triedAt?: number | undefined;
 }
 
-/** One answer of a worker. */
+/** What one answer of a worker announces. */
 export interface Answer {
   readonly notice: notices.Notice;
-  /** Steady ms at which its request was sent, and at which it came. */
+  /** Steady ms at which the request was sent and, in `at`, its answer arrived. */
   readonly sentAt: number;
   readonly at: number;
   /** The worker ran the request: only then does silence mean that there is no limit. */
   readonly ran: boolean;
 }
 
-/** A worker that has said nothing. */
+/** The state of a worker that has announced nothing. */
 export const UNKNOWN: Availability = {};
 
-/** Milliseconds by which a pause is kept longer than asked for, as clocks do not run alike. */
+/** Milliseconds by which a pause is extended, since clocks don't run at exactly the same rate. */
 const PAUSE_MARGIN_MS = 20;
 /**
- * Milliseconds from one request to the next once a pause is over, until one is answered without asking for another: what was
- * kept away meanwhile does not come back at once, only to be turned away again.
+ * Milliseconds between requests once a pause is over, until one is answered without asking for
+ * another pause. Otherwise all requests held back in the meantime would be sent at once, only to be
+ * refused again.
  */
-const TRY_MS = 250;
+const TRIAL_INTERVAL_MS = 250;
 
-/** What is known once an answer has come; the same value where it tells nothing new. */
+/** The state after an answer; the same object if the answer changes nothing. */
 export function observe(known: Availability, a: Answer): Availability {
   const { limit: said, leaving } = a.notice;
   const limit = limits.observe(known.limit, { ...a, said });
@@ -53,13 +57,13 @@
   return isSame ? known : { limit, leavingAt, pause };
 }
 
-/** What another host knows of a worker. */
+/** The state of a worker as another host reports it. */
 export interface News {
   readonly limit?: limits.News | undefined;
   readonly leaving: boolean;
 }
 
-/** What is known once another host's news has come; the same value where it tells nothing new. */
+/** The state after another host's report; the same object if the report changes nothing. */
 export function learn(known: Availability, news: News, now: number): Availability {
   const limit = news.limit ? limits.learn(known.limit, news.limit, now) : known.limit;
   const leavingAt = known.leavingAt ?? (news.leaving ? now : undefined);
@@ -67,26 +71,29 @@
   return { ...known, limit, leavingAt };
 }
 
-/** Whether what is known says more than a host's news. */
+/** Whether the known state holds something that another host's report lacks. */
 export function isAhead(known: Availability, news: News): boolean {
   const isNewer = (known.limit?.version ?? 0) > (news.limit?.version ?? 0);
   return isNewer || (known.leavingAt !== undefined && !news.leaving);
 }
 
-/** Whether other hosts are to be told of a change. */
+/** Whether a change must be sent to other hosts. */
 export function isNews(before: Availability, after: Availability): boolean {
   return isAhead(after, { limit: before.limit, leaving: before.leavingAt !== undefined });
 }
 
-/** Milliseconds until it takes a request of this host; Infinity where it leaves. A limit is kept apart from that. */
+/**
+ * Milliseconds until the worker accepts a request of this host, leaving its limit aside; Infinity
+ * if it is leaving.
+ */
 export function opensInMs({ leavingAt, pause }: Availability, now: number): number {
   if (leavingAt !== undefined) return Infinity;
   if (!pause) return 0;
-  const openAt = Math.max(pause.until, (pause.triedAt ?? -Infinity) + TRY_MS);
-  return Math.max(0, openAt - now);
+  const opensAt = Math.max(pause.until, (pause.triedAt ?? -Infinity) + TRIAL_INTERVAL_MS);
+  return Math.max(0, opensAt - now);
 }
 
-/** What is known once a request is sent to it. */
+/** The state after a request is sent to the worker. */
 export function sent(known: Availability, now: number): Availability {
   const { pause } = known;
   return pause ? { ...known, pause: { ...pause, triedAt: now } } : known;
--- a/src/serving/caps.ts
+++ b/src/serving/caps.ts
@@ -1,5 +1,6 @@
 /**
- * Usage caps of teams: what a request counts against its team's cap, and whether it is let in under it.
+ * Usage caps of teams: how many units a request counts against its team's cap, and whether the cap
+ * admits it.
  * @module
  */
 import type * as ask from "./ask.js";
@@ -7,16 +8,18 @@
 import type * as limiter from "./limiter.js";
 import type * as messages from "./limiter-messages.js";
 
-const IN: limiter.Verdict = { kind: "in", delayMs: 0 };
+const ADMITTED: limiter.Verdict = { kind: "in", delayMs: 0 };
 
-/** What a request counts against its team's cap. */
+/** The units that a request counts against its team's cap. */
 export function unitsOf(cap: catalog.Cap, meta: ask.Meta): number {
   if (cap.unit === "requests") return 1;
   const tokens = meta.promptTokens + meta.answerTokens;
   return tokens > 0 ? tokens : cap.defaultTokens;
 }
 
-/** The total that a team's cap is; `version` is that of the configuration that it is from. */
+/**
+ * The total for a team's cap; `version` is the version of the configuration that defines the cap.
+ */
 function totalOf(
   team: string,
   cap: catalog.Cap,
@@ -26,7 +29,7 @@
   return { key: `team/${team}`, perS: cap.perS, burst: cap.burst, overdraft, aheadMs: 0, version };
 }
 
-/** The totals of all teams with a cap; `overdraft` is the units by which each may be exceeded at once. */
+/** The totals of all teams with a cap; each may be exceeded by `overdraft` units at once. */
 export function totals(
   config: catalog.Config | undefined,
   overdraft: number,
@@ -47,13 +50,13 @@
 export class Caps {
   constructor(private readonly deps: Deps) {}
 
-  /** Whether one more request of a team is let in; it counts `units`. */
+  /** Decides on one more request of a team, which counts `units`. */
   admit(team: catalog.Team, units: number): Promise<limiter.Verdict> | limiter.Verdict {
     const total = this.total(team);
-    return total ? this.deps.limiter.admit(total, units, 0) : IN;
+    return total ? this.deps.limiter.admit(total, units, 0) : ADMITTED;
   }
 
-  /** A request that was let in did not run. */
+  /** Returns the units of a request that was admitted but did not run. */
   refund(team: catalog.Team, units: number): void {
     const total = this.total(team);
     if (total) this.deps.limiter.refund(total, units);
--- a/src/serving/draws.ts
+++ b/src/serving/draws.ts
@@ -1,39 +1,39 @@
 /**
- * Questions to an endpoint daemon for requests of totals that wait for its answers.
+ * The draws on one connection to an endpoint daemon that wait for their replies.
  * @module
  */
 import type * as clock from "../host/clock.js";
 import type * as limiterMessages from "./limiter-messages.js";
 
-/** The answer to a question; nothing when the endpoint daemon is away or silent. */
-type Answer = limiterMessages.Drawn | undefined;
+/** The reply to a draw; undefined if the endpoint daemon disconnected or did not reply in time. */
+type Reply = limiterMessages.Drawn | undefined;
 
 export class Draws {
-  private readonly waiting = new Map<number, (a: Answer) => void>();
+  private readonly pending = new Map<number, (a: Reply) => void>();
 
   constructor(private readonly clk: clock.Clock) {}
 
-  /** Waits for the answer to question `n`; `silent` is called where none came within `ms`. */
-  wait(n: number, ms: number, silent: () => void): Promise<Answer> {
+  /** Waits for the reply to draw `n`; calls `onTimeout` if none arrived within `ms`. */
+  wait(n: number, ms: number, onTimeout: () => void): Promise<Reply> {
     return new Promise((resolve) => {
       const timer = this.clk.after(ms, () => {
-        silent();
+        onTimeout();
         this.settle(n, undefined);
       });
-      this.waiting.set(n, (a) => {
+      this.pending.set(n, (a) => {
         timer.cancel();
         resolve(a);
       });
     });
   }
 
-  settle(n: number, a: Answer): void {
-    this.waiting.get(n)?.(a);
-    this.waiting.delete(n);
+  settle(n: number, a: Reply): void {
+    this.pending.get(n)?.(a);
+    this.pending.delete(n);
   }
 
-  /** The connection is over. */
+  /** Resolves all pending draws without a reply, because the connection is closed. */
   drop(): void {
-    for (const n of [...this.waiting.keys()]) this.settle(n, undefined);
+    for (const n of [...this.pending.keys()]) this.settle(n, undefined);
   }
 }
--- a/src/serving/hearsay.ts
+++ b/src/serving/hearsay.ts
@@ -1,7 +1,7 @@
 /**
- * What one daemon has heard of requests that end their workers: a book that it keeps, and the messages by
- * which daemons tell each other. An entry daemon tells a few endpoint daemons, each of these tells all entry
- * daemons that are connected, and those that connect later.
+ * One daemon's knowledge of requests that crash their workers, and the messages by which daemons
+ * share it. An entry daemon tells a few endpoint daemons; each of these tells all connected entry
+ * daemons and those that connect later.
  * @module
  */
 import * as zod from "zod";
@@ -11,16 +11,16 @@
 import * as identities from "./identity.js";
 import * as suspicion from "./suspicion.js";
 
-/** Pieces of news in one message, and letters of a worker's name. */
-const PIECES = 64;
-const NAME_LENGTH = 160;
-/** Looks for what lapsed, in the time after which it does. */
-const LOOKS = 10;
-/** Letters of a reason that are told. */
-const WHY_LENGTH = 200;
+/** Maximum pieces of news in one message, and maximum length of a worker's id. */
+const MAX_NEWS = 64;
+const MAX_WORKER_LENGTH = 160;
+/** Number of checks for expired records within the time after which a record expires. */
+const EXPIRY_CHECKS = 10;
+/** Maximum length of a parse error in the log. */
+const MAX_REASON_LENGTH = 200;
 
 const identity = zod.string().regex(identities.PATTERN);
-const worker = zod.string().min(1).max(NAME_LENGTH).regex(/^\S+$/);
+const worker = zod.string().min(1).max(MAX_WORKER_LENGTH).regex(/^\S+$/);
 const ageMs = zod.number().min(0);
 const underWayMs = zod.number().min(0);
 const peers = zod.int().min(1);
@@ -30,23 +30,23 @@
     .object({
       kind: zod.literal("ran"),
       identity,
-      workers: zod.array(worker).max(PIECES).readonly(),
+      workers: zod.array(worker).max(MAX_NEWS).readonly(),
       ageMs,
     })
     .readonly(),
 ]);
-const message = zod.array(news).max(PIECES);
+const message = zod.array(news).max(MAX_NEWS);
 
-/** A message on the wire: {@link suspicion.News}, checked only once it is taken. */
+/** A message on the wire; its {@link suspicion.News} are validated only when they are applied. */
 export const wire = zod.object({ kind: zod.literal("suspicion"), news: zod.unknown() }).readonly();
 export type Message = zod.infer<typeof wire>;
 
-/** News as messages of a bounded length. */
+/** Splits news into messages of bounded length. */
 export function messages(all: readonly suspicion.News[]): readonly Message[] {
-  const count = Math.ceil(all.length / PIECES);
+  const count = Math.ceil(all.length / MAX_NEWS);
   return Array.from({ length: count }, (_, i) => ({
     kind: "suspicion",
-    news: all.slice(i * PIECES, (i + 1) * PIECES),
+    news: all.slice(i * MAX_NEWS, (i + 1) * MAX_NEWS),
   }));
 }
 
@@ -58,56 +58,59 @@
 export class Hearsay {
   private at = suspicion.EMPTY;
   private unreadable = 0;
-  /** Monotonic ms before which nothing lapses; what lapses later than that is judged by its own age. */
-  private lapsesAt = Infinity;
+  /**
+   * Monotonic ms before which no record expires; a record that expires later is judged by its own
+   * age.
+   */
+  private expiresAt = Infinity;
 
   constructor(private readonly deps: Deps) {}
 
-  /** What is known now. */
+  /** The records that have not expired. */
   get book(): suspicion.Book {
     const now = this.deps.clock.mono();
-    if (now >= this.lapsesAt) {
+    if (now >= this.expiresAt) {
       this.at = suspicion.lapse(this.at, now);
-      this.lapsesAt = now + suspicion.LAPSE_MS / LOOKS;
+      this.expiresAt = now + suspicion.LAPSE_MS / EXPIRY_CHECKS;
     }
     return this.at;
   }
 
-  /** No worker is known to have ended under a request. */
+  /** Whether no crash is known. */
   get isQuiet(): boolean {
     return this.at.ends.size === 0;
   }
 
-  /** Messages that could not be read. */
+  /** Number of messages that could not be parsed. */
   get refused(): number {
     return this.unreadable;
   }
 
-  /** Takes news over; returns what of it was new. */
+  /** Applies news; returns the pieces that changed something. */
   take(all: readonly suspicion.News[]): readonly suspicion.News[] {
     const now = this.deps.clock.mono();
     return all.filter((n) => {
       const before = this.at;
       this.at = suspicion.take(before, n, now);
-      this.lapsesAt = Math.min(this.lapsesAt, now + suspicion.LAPSE_MS - n.ageMs);
+      this.expiresAt = Math.min(this.expiresAt, now + suspicion.LAPSE_MS - n.ageMs);
       return this.at !== before;
     });
   }
 
-  /** Takes a peer's message over; one that cannot be read is counted and changes nothing. */
+  /** Applies a peer's message; one that cannot be parsed is counted and changes nothing. */
   hear(m: Message, peer: string): readonly suspicion.News[] {
     const read = message.safeParse(m.news);
     if (read.success) return this.take(read.data);
     this.unreadable++;
-    this.deps.log.error("News of a request that ends workers cannot be read.", {
+    this.deps.log.error("A suspicion message cannot be parsed.", {
       peer,
       count: this.unreadable,
-      why: errors.why(read.error).slice(0, WHY_LENGTH),
+      why: errors.why(read.error).slice(0, MAX_REASON_LENGTH),
     });
     return [];
   }
 
-  /** What a peer that knows nothing yet is told. */
+  /** The messages for a newly connected peer. */
   retold(): readonly Message[] {
     return messages(suspicion.retold(this.book, this.deps.clock.mono()));
   }
--- a/src/serving/identity.ts
+++ b/src/serving/identity.ts
@@ -1,35 +1,36 @@
 /**
- * Which requests are the same one, sent again: by another attempt of its caller, or to another entry host.
- * An attempt's id is new each time, so it is what was asked for that counts. Pure.
+ * Identifies requests that are repetitions of one another: another attempt of the same caller, or
+ * the same request sent to another entry host. Each attempt has a new id, so the identity is a hash
+ * of what is asked for. Pure.
  * @module
  */
 import * as crypto from "node:crypto";
 import type * as ask from "./ask.js";
 
-/** What an identity looks like: {@link BYTES} bytes as base64url. */
+/** The format of an identity: {@link BYTES} bytes as base64url. */
 export const PATTERN = /^[\w-]{22}$/;
-/** Bytes kept of the digest: among 2^64 requests two would share one by chance. */
+/** Bytes kept of the digest: a collision is to be expected only among about 2^64 requests. */
 const BYTES = 16;
 
-const known = new WeakMap<ask.Ask, string>();
+const computed = new WeakMap<ask.Ask, string>();
 
 /**
- * The identity of a request, as 22 letters of base64url: what tells it from others is its route's host, method,
- * path, model and adapter, and body. Left out are the attempt's id, the time that is left, and the event
- * after which a stream goes on, since they differ from one attempt to the next; and the connection, since callers
- * come from several addresses, and the same body ends a worker whoever sends it.
+ * The identity of a request, as 22 characters of base64url: a hash of its route's host, method,
+ * path, model, adapter and body. The attempt's id, the remaining time and the event after which a
+ * stream resumes are left out, since they differ between attempts. The connection is left out,
+ * since callers come from several addresses, and the same body crashes a worker whoever sends it.
  *
- * It can't be read back to a prompt. It is computed only for sends that broke off and while some request is under
- * suspicion, and once for each.
+ * The prompt can't be recovered from it. It is computed only for sends that broke off and while
+ * some request is suspected, and once per request.
  */
 export function of(a: ask.Ask): string {
-  const before = known.get(a);
-  if (before !== undefined) return before;
+  const cached = computed.get(a);
+  if (cached !== undefined) return cached;
   const hash = crypto.createHash("sha256");
   const { target } = a.meta;
-  const named = [a.route.host, a.method, a.path, target?.model ?? null, target?.adapter ?? null];
-  hash.update(JSON.stringify(named)).update(a.body);
+  const parts = [a.route.host, a.method, a.path, target?.model ?? null, target?.adapter ?? null];
+  hash.update(JSON.stringify(parts)).update(a.body);
   const digest = hash.digest().subarray(0, BYTES).toString("base64url");
-  known.set(a, digest);
+  computed.set(a, digest);
   return digest;
 }
--- a/src/serving/limiter-messages.ts
+++ b/src/serving/limiter-messages.ts
@@ -1,19 +1,20 @@
 /**
- * The messages about totals over all hosts between entry daemons and the endpoint daemons that keep them. An entry daemon
- * says which totals it takes an endpoint daemon to keep, asks it for requests, and gives back what did not run.
+ * The messages about totals (rate limits shared by all hosts) between entry daemons and the
+ * endpoint daemons that own them. An entry daemon attaches totals to their owner, draws units for
+ * requests, and refunds the units of requests that did not run.
  * @module
  */
 import * as zod from "zod";
 
-/** Names a total: a team's usage cap or a worker's limit. */
+/** Identifies a total: a team's usage cap or a worker's rate limit. */
 const key = zod.string().min(1);
 const units = zod.number().nonnegative();
 
-/** From now on the totals listed are kept here for this entry daemon, and no others. */
+/** Replaces the set of totals that the receiver owns for this entry daemon. */
 const attach = zod
   .object({
     kind: zod.literal("attach"),
-    /** Entry daemons there are, as far as this one knows. */
+    /** Number of entry daemons that the sender knows of. */
     hosts: zod.number().positive(),
     totals: zod
       .array(
@@ -22,11 +23,11 @@
             key,
             perS: zod.number().positive(),
             burst: units,
-            /** Units by which it may be exceeded at once. */
+            /** Units by which the total may be exceeded at once. */
             overdraft: units,
-            /** Milliseconds of its flow that may be promised to requests that wait. */
+            /** Milliseconds of future refill that may be promised to waiting requests. */
             aheadMs: zod.number().nonnegative(),
-            /** Grows with each change of the total. */
+            /** Increases with each change of the total. */
             version: zod.number(),
           })
           .readonly(),
@@ -34,23 +35,26 @@
       .readonly(),
   })
   .readonly();
-/** The totals that were attached last are kept here still. */
+/** Renews the lease on the totals attached last. */
 const keep = zod.object({ kind: zod.literal("keep") }).readonly();
 const draw = zod
   .object({
     kind: zod.literal("draw"),
-    /** Names the question on this connection. */
+    /** Id of the draw, unique on its connection. */
     draw: zod.int(),
     key,
-    /** What each request counts, in the order in which they are to be let in. */
+    /** Units of each request, in the order in which they are to be admitted. */
     wants: zod.array(units).min(1).readonly(),
-    /** Milliseconds for which each may wait. */
+    /** Milliseconds that each request may wait. */
     patienceMs: zod.number().nonnegative(),
   })
   .readonly();
 const refund = zod.object({ kind: zod.literal("refund"), key, units }).readonly();
 
-/** Milliseconds after its last word for which an endpoint daemon counts an entry daemon as one whose totals it keeps. */
+/**
+ * Milliseconds after an entry daemon's last message for which the owner counts it among the hosts
+ * that have its totals attached.
+ */
 export const LEASE_MS = 2000;
 
 export const fromEntry = [attach, keep, draw, refund] as const;
@@ -60,14 +64,20 @@
 export type Draw = zod.infer<typeof draw>;
 export type Refund = zod.infer<typeof refund>;
 
-/** The answer to a {@link Draw}. */
+/** The reply to a {@link Draw}. */
 export const drawn = zod
   .object({
     kind: zod.literal("drawn"),
     draw: zod.int(),
-    /** Milliseconds until each of the requests that are let in, from the first on, may go on. */
+    /**
+     * Milliseconds that each admitted request waits before it is sent; the admitted requests are
+     * the first ones of the draw.
+     */
     delaysMs: zod.array(zod.number().nonnegative()).readonly(),
-    /** Milliseconds until the next of them would be; left out where the place can't tell. */
+    /**
+     * Milliseconds until the first request that was not admitted could be; left out if the owner
+     * can't tell.
+     */
     waitMs: zod.number().nonnegative().optional(),
   })
   .readonly();
--- a/src/serving/limiter-place.ts
+++ b/src/serving/limiter-place.ts
@@ -1,6 +1,7 @@
 /**
- * An endpoint daemon's part in keeping totals over all hosts: it is the place of some totals for the entry daemons that
- * say so, and lets in what their part of each allows. It outlives the worker beside it.
+ * The endpoint daemon's side of totals (rate limits shared by all hosts): it owns some totals for
+ * the entry daemons that attach them, and admits requests up to those daemons' part of each total.
+ * It outlives the worker beside it.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -10,25 +11,25 @@
 import * as messages from "./limiter-messages.js";
 import * as peak from "./peak.js";
 
-/** Milliseconds for which an entry daemon that left still counts as one of the hosts. */
-const REMEMBERED_MS = 10_000;
-/** Milliseconds for which a total is kept that no entry daemon keeps here. */
-const KEPT_MS = 60_000;
-/** Milliseconds between two log lines on one total that is used up. */
-const TELL_MS = 1000;
+/** Milliseconds for which a disconnected entry daemon still counts as one of the hosts. */
+const HOST_MEMORY_MS = 10_000;
+/** Milliseconds after which a total that no entry daemon attaches here is dropped. */
+const UNUSED_KEEP_MS = 60_000;
+/** Minimum milliseconds between two log lines about the same exhausted total. */
+const LOG_INTERVAL_MS = 1000;
 
-interface Kept {
+interface OwnedTotal {
   readonly total: messages.Total;
-  readonly left: allowance.Allowance;
+  readonly balance: allowance.Allowance;
   readonly attached: ReadonlySet<announcer.Client>;
 }
 
 /** A connected entry daemon. */
 interface Host {
-  /** Entry daemons that it knows of. */
-  readonly known: number;
-  /** Monotonic ms of its last word. */
-  readonly heardAt: number;
+  /** Number of entry daemons that it knows of. */
+  readonly knownHosts: number;
+  /** Monotonic ms of its last message. */
+  readonly lastContactAt: number;
 }
 
 export interface Deps {
@@ -38,161 +39,175 @@
 
 export class LimiterPlace {
   private readonly hosts = new Map<announcer.Client, Host>();
-  private readonly kept = new Map<string, Kept>();
-  private readonly toldAt = new Map<string, number>();
-  /** Entry daemons connected at once, over {@link REMEMBERED_MS}. */
-  private counts: peak.Peak | undefined;
+  private readonly owned = new Map<string, OwnedTotal>();
+  private readonly loggedAt = new Map<string, number>();
+  /** The highest number of entry daemons connected at once within {@link HOST_MEMORY_MS}. */
+  private peakHosts: peak.Peak | undefined;
 
   constructor(private readonly deps: Deps) {}
 
-  /** Totals that are kept here. */
+  /** Number of totals owned here. */
   get size(): number {
-    return this.kept.size;
+    return this.owned.size;
   }
 
   join(c: announcer.Client): void {
-    this.hosts.set(c, { known: 1, heardAt: this.deps.clock.mono() });
-    this.count();
+    this.hosts.set(c, { knownHosts: 1, lastContactAt: this.deps.clock.mono() });
+    this.hostCount();
   }
 
   leave(c: announcer.Client): void {
-    this.count();
+    this.hostCount();
     this.hosts.delete(c);
-    for (const [key, k] of this.kept) if (k.attached.has(c)) this.attachment(key, k, c, false);
+    for (const [key, k] of this.owned) if (k.attached.has(c)) this.setAttached(key, k, c, false);
   }
 
-  /** An entry daemon still keeps here what it said last. */
+  /** An entry daemon renews its lease; the totals that it attached last stay attached. */
   keep(c: announcer.Client): void {
-    this.heard(c, this.hosts.get(c)?.known ?? 1);
+    this.recordContact(c, this.hosts.get(c)?.knownHosts ?? 1);
   }
 
   attach(c: announcer.Client, m: messages.Attach): void {
-    this.heard(c, m.hosts);
+    this.recordContact(c, m.hosts);
     const listed = new Map(m.totals.map((t) => [t.key, t]));
-    for (const [key, k] of this.kept) {
-      if (k.attached.has(c) && !listed.has(key)) this.attachment(key, k, c, false);
+    for (const [key, k] of this.owned) {
+      if (k.attached.has(c) && !listed.has(key)) this.setAttached(key, k, c, false);
     }
     for (const [key, total] of listed) {
-      const k = this.kept.get(key) ?? this.begun(total);
+      const k = this.owned.get(key) ?? this.newTotal(total);
       const newer = total.version > k.total.version ? { ...k, total } : k;
-      this.attachment(key, newer, c, true);
+      this.setAttached(key, newer, c, true);
     }
-    this.forget();
+    this.prune();
   }
 
   draw(c: announcer.Client, m: messages.Draw): void {
-    const k = this.flowed(m.key);
+    const k = this.refilled(m.key);
     if (!k?.attached.has(c)) {
       c.send({ kind: "drawn", draw: m.draw, delaysMs: [] });
       return;
     }
     const part = this.part(k);
     const { overdraft, aheadMs } = k.total;
-    const wish = { ...m, patienceMs: Math.min(m.patienceMs, aheadMs) };
-    const got = allowance.draw(k.left, k.total, part, wish, overdraft);
-    this.kept.set(m.key, { ...k, left: got.left });
+    const req = { ...m, patienceMs: Math.min(m.patienceMs, aheadMs) };
+    const result = allowance.draw(k.balance, k.total, part, req, overdraft);
+    this.owned.set(m.key, { ...k, balance: result.left });
     c.send({
       kind: "drawn",
       draw: m.draw,
-      delaysMs: got.delaysMs,
-      ...(got.waitMs !== undefined && { waitMs: got.waitMs }),
+      delaysMs: result.delaysMs,
+      ...(result.waitMs !== undefined && { waitMs: result.waitMs }),
     });
-    if (got.granted < m.wants.length) this.tell(k, part, got);
+    if (result.granted < m.wants.length) this.logExhausted(k, part, result);
   }
 
   refund(c: announcer.Client, m: messages.Refund): void {
-    const k = this.flowed(m.key);
+    const k = this.refilled(m.key);
     if (!k?.attached.has(c)) return;
-    this.kept.set(m.key, { ...k, left: allowance.refund(k.left, k.total, m.units) });
+    this.owned.set(m.key, { ...k, balance: allowance.refund(k.balance, k.total, m.units) });
   }
 
-  /** An entry daemon said something; what flowed in until now counts by what was heard until now. */
-  private heard(c: announcer.Client, known: number): void {
+  /**
+   * Records contact with an entry daemon. If its lease had expired, its totals are refilled first,
+   * with the lease as it was until now.
+   */
+  private recordContact(c: announcer.Client, knownHosts: number): void {
     const now = this.deps.clock.mono();
-    const lapsed = now - (this.hosts.get(c)?.heardAt ?? -Infinity) > messages.LEASE_MS;
-    if (lapsed) {
-      for (const [key, k] of this.kept) {
-        if (k.attached.has(c)) this.kept.set(key, { ...k, left: this.flow(k) });
+    const isExpired = now - (this.hosts.get(c)?.lastContactAt ?? -Infinity) > messages.LEASE_MS;
+    if (isExpired) {
+      for (const [key, k] of this.owned) {
+        if (k.attached.has(c)) this.owned.set(key, { ...k, balance: this.refill(k) });
       }
     }
-    this.hosts.set(c, { known, heardAt: now });
+    this.hosts.set(c, { knownHosts, lastContactAt: now });
   }
 
-  private begun(total: messages.Total): Kept {
-    const left = allowance.begun(this.deps.clock.steady(), total.overdraft);
-    return { total, left, attached: new Set() };
+  private newTotal(total: messages.Total): OwnedTotal {
+    const balance = allowance.begun(this.deps.clock.steady(), total.overdraft);
+    return { total, balance, attached: new Set() };
   }
 
-  /** An entry daemon begins or ceases to keep a total here; what flowed in until now counts by the part until now. */
-  private attachment(key: string, k: Kept, c: announcer.Client, on: boolean): void {
-    const before = this.kept.get(key);
-    const left = before ? this.flow(before) : k.left;
+  /**
+   * Attaches a total to an entry daemon or detaches it. The total is refilled first, by the part
+   * that was attached until now.
+   */
+  private setAttached(key: string, k: OwnedTotal, c: announcer.Client, isAttached: boolean): void {
+    const before = this.owned.get(key);
+    const balance = before ? this.refill(before) : k.balance;
     const attached = new Set(k.attached);
-    if (on) attached.add(c);
+    if (isAttached) attached.add(c);
     else attached.delete(c);
-    // Of a total that is promised ahead, no burst stays at a place that keeps it for nobody.
+    // A total whose refill may be promised ahead keeps no burst while no entry daemon has it
+    // attached.
     const isIdle = attached.size === 0 && k.total.aheadMs > 0;
-    const level = isIdle ? Math.min(left.level, 0) : left.level;
-    this.kept.set(key, { ...k, left: { ...left, level }, attached });
+    const level = isIdle ? Math.min(balance.level, 0) : balance.level;
+    this.owned.set(key, { ...k, balance: { ...balance, level }, attached });
   }
 
-  private flow(k: Kept): allowance.Allowance {
+  private refill(k: OwnedTotal): allowance.Allowance {
     const now = this.deps.clock.steady();
-    return allowance.flow(k.left, k.total, this.meanPart(k, now - k.left.at), now);
+    return allowance.flow(k.balance, k.total, this.meanPart(k, now - k.balance.at), now);
   }
 
-  private flowed(key: string): Kept | undefined {
-    const k = this.kept.get(key);
-    return k && { ...k, left: this.flow(k) };
+  private refilled(key: string): OwnedTotal | undefined {
+    const k = this.owned.get(key);
+    return k && { ...k, balance: this.refill(k) };
   }
 
-  /** The part of all entry daemons for which a total is kept here now. */
-  private part(k: Kept): number {
+  /** The part of all entry daemons that have a total attached here now. */
+  private part(k: OwnedTotal): number {
     return this.meanPart(k, 1);
   }
 
-  /** The same over the last `ms`: an entry daemon counts until its lease is over. */
-  private meanPart(k: Kept, ms: number): number {
+  /**
+   * The mean of {@link part} over the last `ms`: an entry daemon counts until its lease expires.
+   */
+  private meanPart(k: OwnedTotal, ms: number): number {
     if (ms <= 0) return 0;
     const now = this.deps.clock.mono();
-    let known = this.count();
+    let knownHosts = this.hostCount();
     let heldMs = 0;
     for (const c of k.attached) {
       const host = this.hosts.get(c);
       if (!host) continue;
-      known = Math.max(known, host.known);
-      const until = Math.min(now, host.heardAt + messages.LEASE_MS);
+      knownHosts = Math.max(knownHosts, host.knownHosts);
+      const until = Math.min(now, host.lastContactAt + messages.LEASE_MS);
       heldMs += Math.max(0, until - (now - ms));
     }
-    return Math.min(1, heldMs / ms / Math.max(1, known));
+    return Math.min(1, heldMs / ms / Math.max(1, knownHosts));
   }
 
-  /** Entry daemons there are, or were a while ago. */
-  private count(): number {
-    this.counts = peak.read(this.counts, this.hosts.size, this.deps.clock.steady(), REMEMBERED_MS);
-    return peak.highest(this.counts);
+  /** The highest recent number of connected entry daemons. */
+  private hostCount(): number {
+    this.peakHosts = peak.read(
+      this.peakHosts,
+      this.hosts.size,
+      this.deps.clock.steady(),
+      HOST_MEMORY_MS,
+    );
+    return peak.highest(this.peakHosts);
   }
 
-  private forget(): void {
+  private prune(): void {
     const now = this.deps.clock.steady();
-    for (const [key, k] of this.kept) {
-      if (k.attached.size > 0 || now - k.left.at < KEPT_MS) continue;
-      this.kept.delete(key);
-      this.toldAt.delete(key);
+    for (const [key, k] of this.owned) {
+      if (k.attached.size > 0 || now - k.balance.at < UNUSED_KEEP_MS) continue;
+      this.owned.delete(key);
+      this.loggedAt.delete(key);
     }
   }
 
-  private tell({ total }: Kept, part: number, got: allowance.Drawn): void {
+  private logExhausted({ total }: OwnedTotal, part: number, result: allowance.Drawn): void {
     const now = this.deps.clock.steady();
-    if (now - (this.toldAt.get(total.key) ?? -Infinity) < TELL_MS) return;
-    this.toldAt.set(total.key, now);
+    if (now - (this.loggedAt.get(total.key) ?? -Infinity) < LOG_INTERVAL_MS) return;
+    this.loggedAt.set(total.key, now);
     this.deps.log.info("A total is used up.", {
       total: total.key,
       perS: total.perS,
       burst: total.burst,
-      left: Math.round(got.left.level),
+      left: Math.round(result.left.level),
       part,
-      waitMs: got.waitMs,
+      waitMs: result.waitMs,
     });
   }
 }
--- a/src/serving/limiter.ts
+++ b/src/serving/limiter.ts
@@ -1,7 +1,11 @@
 /**
- * An entry daemon's part in keeping totals over all hosts: it asks the place of a total to let requests in. The place is
- * an endpoint daemon that all entry daemons choose alike; where it is not reached the next one in their order is taken,
- * and where none is, this host keeps to its own part of the total, if it has heard how many hosts there are.
+ * The entry daemon's side of totals: rate limits shared by all hosts, namely a team's usage cap or
+ * a worker's rate limit. It asks the total's owner to admit requests.
+ *
+ * The owner is an endpoint daemon; all entry daemons compute the same order of candidates for a
+ * total. If the first one is not reached, the next one is used. If none is reached, this host
+ * enforces its own part of the total by itself, provided that it has heard how many hosts there
+ * are.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -11,59 +15,64 @@
 import type * as link from "./link.js";
 import * as messages from "./limiter-messages.js";
 
-/** Endpoint daemons that may be the place of one total. */
+/** Number of endpoint daemons that may own one total. */
 export const PLACES = 3;
-/** Groups of totals that have the same place, so that a host keeps in touch with as many places at most. */
-const GROUPS = 16;
-/** Milliseconds for which a place that fell silent is passed over. */
-const AVOIDED_MS = 2000;
-/** Milliseconds between two words to each place: three in a lease. */
-const KEEP_MS = 650;
-/** Milliseconds that a word to a place may be on its way, after which its lease begins. */
-const WAY_MS = 300;
-/** Hosts taken for granted where there is no endpoint daemon that could tell. */
-const HOSTS = 6;
-/** Milliseconds after which a caller is told to come back where nobody can tell whether it is let in. */
-const UNKNOWN_MS = 400;
-
-/** Whether a request is let in. */
+/**
+ * Number of groups of totals; all totals of a group have the same owner, which bounds the number of
+ * owners that a host keeps in contact with.
+ */
+const OWNER_GROUPS = 16;
+/** Milliseconds for which an owner that did not answer is skipped. */
+const AVOID_MS = 2000;
+/** Milliseconds between two messages to each owner: three per lease. */
+const RENEW_MS = 650;
+/**
+ * Maximum milliseconds that a message to an owner takes to arrive, after which its lease begins.
+ */
+const MAX_TRANSIT_MS = 300;
+/** Number of hosts assumed if there is no endpoint daemon that could tell it. */
+const DEFAULT_HOSTS = 6;
+/** Milliseconds after which a caller is told to retry if no owner can decide on its request. */
+const UNDECIDED_RETRY_MS = 400;
+
+/** The decision on one request. */
 export type Verdict =
-  /** It is, and may go on in `delayMs`. */
+  /** Admitted; it may be sent after `delayMs`. */
   | { readonly kind: "in"; readonly delayMs: number }
-  /** The total is used up. */
+  /** Refused: the total is exhausted. */
   | { readonly kind: "over"; readonly comeBackMs: number }
-  /** No place that knows is reached. */
+  /** Refused: no owner that could decide is reached. */
   | { readonly kind: "unsure"; readonly comeBackMs: number };
 
-/** Names what belongs to a total in the order of endpoint daemons. */
+/** The key by which the endpoint daemons that may own a total are ordered. */
 export function placeKey(key: string): string {
-  return `totals/${hash.of32(key) % GROUPS}`;
+  return `totals/${hash.of32(key) % OWNER_GROUPS}`;
 }
 
-/** Key of the total that a worker's limit is, by its incarnation. */
+/** The key of the total for a worker's rate limit, from the id of the worker's incarnation. */
 export function workerKey(id: string): string {
   return `worker/${id}`;
 }
 
-/** A request that waits for the place's answer. */
+/** A request that waits for the owner's answer. */
 interface Waiting {
   readonly units: number;
   readonly patienceMs: number;
   readonly resolve: (v: Verdict) => void;
 }
 
-/** What is under way for one total. */
+/** Requests that wait for a decision under one total. */
 interface Queue {
   waiting: readonly Waiting[];
   asking: boolean;
 }
 
-/** An endpoint daemon that may be the place of a total, as an entry daemon reaches it. */
+/** The connection to an endpoint daemon that may own a total. */
 export type Place = Pick<link.Link, "address" | "isHeard" | "isForgotten" | "draw" | "send">;
 
-/** What a place was told last, as text, and the steady ms of the last word to it. */
-interface Told {
-  readonly place: Place;
+/** The last message to an owner as text, and the steady ms of the last contact with it. */
+interface LastSent {
+  readonly owner: Place;
   readonly text: string;
   readonly at: number;
 }
@@ -71,72 +80,77 @@
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: record.Log;
-  /** The totals there are now. */
+  /** The current totals. */
   readonly totals: () => readonly messages.Total[];
-  /** Connections to the endpoint daemons that may keep what belongs to a key, the first one first. */
+  /** Connections to the first `n` endpoint daemons in the order for a key. */
   readonly places: (key: string, n: number) => readonly Place[];
-  /** The most entry daemons there were in a while; undefined where none was heard of since the start. */
+  /**
+   * The highest recent number of entry daemons; undefined if no number was heard since the start.
+   */
   readonly hosts: () => number | undefined;
 }
 
 export class Limiter {
   private readonly queues = new Map<string, Queue>();
-  /** Where each total is kept for this host. */
-  private readonly homes = new Map<string, Place>();
-  /** Steady ms until which a place is passed over, by its address. */
-  private readonly avoided = new Map<string, number>();
-  /** By the address of each place. */
-  private readonly told = new Map<string, Told>();
-  private readonly own = new Map<string, allowance.Allowance>();
-  /** Steady ms until which what was promised where a total was kept before may still go on. */
+  /** The current owner of each total for this host. */
+  private readonly owners = new Map<string, Place>();
+  /** Steady ms until which an owner is skipped, by its address. */
+  private readonly avoidedUntil = new Map<string, number>();
+  /** By the owner's address. */
+  private readonly lastSent = new Map<string, LastSent>();
+  private readonly localBalances = new Map<string, allowance.Allowance>();
+  /** Steady ms until which requests promised by a total's previous owner may still be sent. */
   private readonly promisedUntil = new Map<string, number>();
   private timer: clock.Timer | undefined;
 
   constructor(private readonly deps: Deps) {}
 
-  /** Whether one more request is let in under a total; it counts `units`, and may wait for `patienceMs`. */
+  /** Decides on one more request of `units` under a total; it may wait for `patienceMs`. */
   admit(total: messages.Total, units: number, patienceMs: number): Promise<Verdict> {
     const queue = this.queues.get(total.key) ?? { waiting: [], asking: false };
     this.queues.set(total.key, queue);
     return new Promise((resolve) => {
       queue.waiting = [...queue.waiting, { units, patienceMs, resolve }];
-      if (!queue.asking) void this.ask(total, queue);
+      if (!queue.asking) void this.drainQueue(total, queue);
     });
   }
 
-  /** A request that was let in did not run. */
+  /** Returns the units of a request that was admitted but did not run. */
   refund(total: messages.Total, units: number): void {
-    const home = this.homes.get(total.key);
-    const left = this.own.get(total.key);
-    if (home) home.send({ kind: "refund", key: total.key, units });
-    else if (left) this.own.set(total.key, allowance.refund(left, total, units));
+    const owner = this.owners.get(total.key);
+    const balance = this.localBalances.get(total.key);
+    if (owner) owner.send({ kind: "refund", key: total.key, units });
+    else if (balance) this.localBalances.set(total.key, allowance.refund(balance, total, units));
   }
 
-  /** What a place must know before it is asked, when it is reached. */
+  /** The messages that an owner must receive on a new connection before it is asked anything. */
   greeting(address: string): readonly messages.Attach[] {
-    this.told.delete(address);
-    const kept = this.deps.totals().filter((t) => this.homes.get(t.key)?.address === address);
-    const home = kept[0] && this.homes.get(kept[0].key);
-    if (!home) return [];
-    const m = this.attaching(kept);
-    this.note(home, JSON.stringify(m));
+    this.lastSent.delete(address);
+    const owned = this.deps.totals().filter((t) => this.owners.get(t.key)?.address === address);
+    const owner = owned[0] && this.owners.get(owned[0].key);
+    if (!owner) return [];
+    const m = this.attachMessage(owned);
+    this.recordSent(owner, JSON.stringify(m));
     return [m];
   }
 
-  /** Chooses each total's place anew, tells the places what has changed, and that the rest has not. */
+  /**
+   * Chooses each total's owner again, sends changes to the owners, and renews the lease where
+   * nothing changed.
+   */
   refresh(): void {
     this.timer?.cancel();
     const totals = this.deps.totals();
-    this.forget(totals);
-    if (totals.length === 0 && this.told.size === 0) return;
-    const kept = new Map<Place, messages.Total[]>();
+    this.prune(totals);
+    if (totals.length === 0 && this.lastSent.size === 0) return;
+    const byOwner = new Map<Place, messages.Total[]>();
     for (const t of totals) {
-      const home = this.settle(t);
-      if (home) kept.set(home, [...(kept.get(home) ?? []), t]);
+      const owner = this.chooseOwner(t);
+      if (owner) byOwner.set(owner, [...(byOwner.get(owner) ?? []), t]);
     }
-    for (const [place, list] of kept) this.tell(place, list);
-    for (const place of this.left(kept)) this.tell(place, []);
-    this.timer = this.deps.clock.after(KEEP_MS, () => {
+    for (const [owner, list] of byOwner) this.sendTotals(owner, list);
+    for (const owner of this.formerOwners(byOwner)) this.sendTotals(owner, []);
+    this.timer = this.deps.clock.after(RENEW_MS, () => {
       this.refresh();
     });
   }
@@ -145,171 +159,189 @@
     this.timer?.cancel();
   }
 
-  /** Drops what is remembered of totals that are there no more. */
-  private forget(totals: readonly messages.Total[]): void {
+  /** Drops the state of totals that no longer exist. */
+  private prune(totals: readonly messages.Total[]): void {
     const keys = new Set(totals.map((t) => t.key));
     for (const [key, queue] of this.queues) {
       if (!keys.has(key) && !queue.asking) this.queues.delete(key);
     }
-    for (const m of [this.homes, this.own, this.promisedUntil]) {
+    for (const m of [this.owners, this.localBalances, this.promisedUntil]) {
       for (const key of m.keys()) if (!keys.has(key)) m.delete(key);
     }
   }
 
   /**
-   * Where a total is kept for this host now. Another place takes it over only once the one before counts this host no
-   * more, so that no part of a total is given out twice.
+   * The total's owner for this host. A new owner takes over only once the previous one no longer
+   * counts this host, so that no part of a total is granted twice.
    */
-  private settle({ key, aheadMs }: messages.Total): Place | undefined {
-    const wanted = this.place(key);
-    const home = this.homes.get(key);
-    if (home === wanted || (home && !this.isFree(home))) return home;
-    const wasKept = home !== undefined || this.own.has(key);
-    if (wasKept && aheadMs > 0) this.promisedUntil.set(key, this.deps.clock.steady() + aheadMs);
-    this.own.delete(key);
-    this.homes.delete(key);
-    if (!wanted || this.promisedMs(key) > 0) return undefined;
-    this.homes.set(key, wanted);
-    return wanted;
+  private chooseOwner({ key, aheadMs }: messages.Total): Place | undefined {
+    const candidate = this.firstAvailable(key);
+    const owner = this.owners.get(key);
+    if (owner === candidate || (owner && !this.isReleased(owner))) return owner;
+    const hadOwner = owner !== undefined || this.localBalances.has(key);
+    if (hadOwner && aheadMs > 0) this.promisedUntil.set(key, this.deps.clock.steady() + aheadMs);
+    this.localBalances.delete(key);
+    this.owners.delete(key);
+    if (!candidate || this.promisedMs(key) > 0) return undefined;
+    this.owners.set(key, candidate);
+    return candidate;
   }
 
-  /** Milliseconds for which what was promised before a move may still go on; the total flows nowhere for this host then. */
+  /**
+   * Milliseconds for which requests promised by the previous owner may still be sent; until then
+   * the total is not refilled for this host.
+   */
   private promisedMs(key: string): number {
     return Math.max(0, (this.promisedUntil.get(key) ?? -Infinity) - this.deps.clock.steady());
   }
 
-  /** Whether a place counts this host no more, or is told so before it hears anything else. */
-  private isFree(home: Place): boolean {
-    if (home.isForgotten || this.answers(home)) return true;
-    return this.freeInMs(home) <= 0;
+  /**
+   * Whether an owner no longer counts this host, or will receive the detaching message before any
+   * other.
+   */
+  private isReleased(owner: Place): boolean {
+    if (owner.isForgotten || this.isAvailable(owner)) return true;
+    return this.leaseLeftMs(owner) <= 0;
   }
 
-  private freeInMs(home: Place): number {
-    const at = this.told.get(home.address)?.at ?? -Infinity;
-    return at + messages.LEASE_MS + WAY_MS - this.deps.clock.steady();
+  private leaseLeftMs(owner: Place): number {
+    const at = this.lastSent.get(owner.address)?.at ?? -Infinity;
+    return at + messages.LEASE_MS + MAX_TRANSIT_MS - this.deps.clock.steady();
   }
 
-  private answers(place: Place): boolean {
-    const avoidedUntil = this.avoided.get(place.address) ?? -Infinity;
-    return place.isHeard && avoidedUntil <= this.deps.clock.steady();
+  private isAvailable(owner: Place): boolean {
+    const avoidedUntil = this.avoidedUntil.get(owner.address) ?? -Infinity;
+    return owner.isHeard && avoidedUntil <= this.deps.clock.steady();
   }
 
-  /** Endpoint daemons that may be the place of a total, the first one first. */
-  private places(key: string): readonly Place[] {
+  /** Endpoint daemons that may own a total, in order. */
+  private candidates(key: string): readonly Place[] {
     return this.deps.places(placeKey(key), PLACES);
   }
 
-  /** The first endpoint daemon in a total's order that is reached and answers. */
-  private place(key: string): Place | undefined {
-    return this.places(key).find((p) => this.answers(p));
+  /** The first candidate in a total's order that is reached and answers. */
+  private firstAvailable(key: string): Place | undefined {
+    return this.candidates(key).find((o) => this.isAvailable(o));
   }
 
-  /** Places that were told of totals which they keep no more. */
-  private left(kept: ReadonlyMap<Place, unknown>): readonly Place[] {
-    const addresses = new Set([...kept.keys()].map((p) => p.address));
-    const others = [...this.told.values()].filter((t) => !addresses.has(t.place.address));
-    for (const { place } of others) {
-      if (this.freeInMs(place) <= 0) this.told.delete(place.address);
+  /** Owners that still have totals attached for this host but own none of them any more. */
+  private formerOwners(byOwner: ReadonlyMap<Place, unknown>): readonly Place[] {
+    const addresses = new Set([...byOwner.keys()].map((p) => p.address));
+    const others = [...this.lastSent.values()].filter((t) => !addresses.has(t.owner.address));
+    for (const { owner } of others) {
+      if (this.leaseLeftMs(owner) <= 0) this.lastSent.delete(owner.address);
     }
-    return others.map((t) => t.place);
+    return others.map((t) => t.owner);
   }
 
-  private tell(place: Place, totals: readonly messages.Total[]): void {
-    if (!this.answers(place)) return;
-    const m = this.attaching(totals);
+  private sendTotals(owner: Place, totals: readonly messages.Total[]): void {
+    if (!this.isAvailable(owner)) return;
+    const m = this.attachMessage(totals);
     const text = JSON.stringify(m);
-    const isKnown = this.told.get(place.address)?.text === text;
-    if (isKnown && totals.length === 0) return;
-    place.send(isKnown ? { kind: "keep" } : m);
-    this.note(place, text);
+    const isUnchanged = this.lastSent.get(owner.address)?.text === text;
+    if (isUnchanged && totals.length === 0) return;
+    owner.send(isUnchanged ? { kind: "keep" } : m);
+    this.recordSent(owner, text);
   }
 
-  private note(place: Place, text: string): void {
-    this.told.set(place.address, { place, text, at: this.deps.clock.steady() });
+  private recordSent(owner: Place, text: string): void {
+    this.lastSent.set(owner.address, { owner, text, at: this.deps.clock.steady() });
   }
 
-  private attaching(totals: readonly messages.Total[]): messages.Attach {
-    return { kind: "attach", hosts: this.hosts(), totals };
+  private attachMessage(totals: readonly messages.Total[]): messages.Attach {
+    return { kind: "attach", hosts: this.hostCount(), totals };
   }
 
-  private hosts(): number {
-    return Math.max(1, this.deps.hosts() ?? HOSTS);
+  private hostCount(): number {
+    return Math.max(1, this.deps.hosts() ?? DEFAULT_HOSTS);
   }
 
-  /** Asks for all that wait, until none does. */
-  private async ask(total: messages.Total, queue: Queue): Promise<void> {
+  /** Asks the owner for all waiting requests, in batches, until none is waiting. */
+  private async drainQueue(total: messages.Total, queue: Queue): Promise<void> {
     queue.asking = true;
     while (queue.waiting.length > 0) {
       const { waiting } = queue;
-      const got = await this.drawn(total, {
+      const result = await this.drawFromOwner(total, {
         wants: waiting.map((w) => w.units),
         patienceMs: Math.min(...waiting.map((w) => w.patienceMs)),
       });
       queue.waiting = queue.waiting.slice(waiting.length);
       waiting.forEach((w, i) => {
-        const delayMs = got.delaysMs[i];
-        w.resolve(delayMs === undefined ? got.refusal : { kind: "in", delayMs });
+        const delayMs = result.delaysMs[i];
+        w.resolve(delayMs === undefined ? result.refusal : { kind: "in", delayMs });
       });
     }
     queue.asking = false;
   }
 
-  private async drawn(total: messages.Total, wish: allowance.Wish): Promise<Drawn> {
+  private async drawFromOwner(total: messages.Total, req: allowance.Wish): Promise<DrawOutcome> {
     const { key } = total;
-    for (let tried = 0; tried < PLACES; tried++) {
-      const at = this.homes.get(key);
-      const isMoving = !at && this.promisedMs(key) > 0;
-      if (!isMoving && !(at && this.answers(at))) this.refresh();
+    for (let attempt = 0; attempt < PLACES; attempt++) {
+      const current = this.owners.get(key);
+      const isHandover = !current && this.promisedMs(key) > 0;
+      if (!isHandover && !(current && this.isAvailable(current))) this.refresh();
       const promisedMs = this.promisedMs(key);
-      if (promisedMs > 0) return { delaysMs: [], refusal: unsure(promisedMs) };
-      const home = this.homes.get(key);
-      if (!home) return this.ownDraw(total, wish);
-      if (!this.answers(home)) {
-        return { delaysMs: [], refusal: unsure(Math.max(UNKNOWN_MS, this.freeInMs(home))) };
+      if (promisedMs > 0) return { delaysMs: [], refusal: undecided(promisedMs) };
+      const owner = this.owners.get(key);
+      if (!owner) return this.drawLocally(total, req);
+      if (!this.isAvailable(owner)) {
+        return {
+          delaysMs: [],
+          refusal: undecided(Math.max(UNDECIDED_RETRY_MS, this.leaseLeftMs(owner))),
+        };
       }
-      const got = await home.draw(key, wish);
-      if (got) return { delaysMs: got.delaysMs, refusal: refused(got.waitMs) };
-      this.avoided.set(home.address, this.deps.clock.steady() + AVOIDED_MS);
+      const result = await owner.draw(key, req);
+      if (result) return { delaysMs: result.delaysMs, refusal: refusalFor(result.waitMs) };
+      this.avoidedUntil.set(owner.address, this.deps.clock.steady() + AVOID_MS);
       this.deps.log.warn("The place of a total does not answer.", {
         total: key,
-        peer: home.address,
+        peer: owner.address,
       });
     }
-    return { delaysMs: [], refusal: unsure(UNKNOWN_MS) };
+    return { delaysMs: [], refusal: undecided(UNDECIDED_RETRY_MS) };
   }
 
-  /** This host's part of a total where it keeps that by itself; undefined where it can't tell. */
-  private ownPart(key: string): number | undefined {
-    if (this.deps.hosts() === undefined && this.places(key).length > 0) return undefined;
-    return 1 / this.hosts();
+  /**
+   * This host's part of a total when no owner is reached; undefined if the number of hosts is not
+   * known.
+   */
+  private localPart(key: string): number | undefined {
+    if (this.deps.hosts() === undefined && this.candidates(key).length > 0) return undefined;
+    return 1 / this.hostCount();
   }
 
-  private ownLeft(total: messages.Total, part: number): allowance.Allowance {
+  private localBalance(total: messages.Total, part: number): allowance.Allowance {
     const now = this.deps.clock.steady();
-    const left = this.own.get(total.key) ?? allowance.begun(now, part * total.overdraft);
-    return allowance.flow(left, total, part, now);
+    const balance =
+      this.localBalances.get(total.key) ?? allowance.begun(now, part * total.overdraft);
+    return allowance.flow(balance, total, part, now);
   }
 
-  private ownDraw(total: messages.Total, wish: allowance.Wish): Drawn {
-    const part = this.ownPart(total.key);
-    if (part === undefined) return { delaysMs: [], refusal: unsure(UNKNOWN_MS) };
-    const left = this.ownLeft(total, part);
-    const got = allowance.draw(left, total, part, wish, total.overdraft);
-    this.own.set(total.key, got.left);
-    return { delaysMs: got.delaysMs, refusal: refused(got.waitMs) };
+  private drawLocally(total: messages.Total, req: allowance.Wish): DrawOutcome {
+    const part = this.localPart(total.key);
+    if (part === undefined) return { delaysMs: [], refusal: undecided(UNDECIDED_RETRY_MS) };
+    const balance = this.localBalance(total, part);
+    const result = allowance.draw(balance, total, part, req, total.overdraft);
+    this.localBalances.set(total.key, result.left);
+    return { delaysMs: result.delaysMs, refusal: refusalFor(result.waitMs) };
   }
 }
 
-/** What came of asking for some requests: those let in, from the first on, and what the others are told. */
-interface Drawn {
+/**
+ * The result of a draw: the delays of the admitted requests, which are the first of the list, and
+ * the decision for the others.
+ */
+interface DrawOutcome {
   readonly delaysMs: readonly number[];
   readonly refusal: Verdict;
 }
 
-function unsure(comeBackMs: number): Verdict {
+function undecided(comeBackMs: number): Verdict {
   return { kind: "unsure", comeBackMs };
 }
 
-function refused(waitMs: number | undefined): Verdict {
-  return waitMs === undefined ? unsure(UNKNOWN_MS) : { kind: "over", comeBackMs: waitMs };
+function refusalFor(waitMs: number | undefined): Verdict {
+  return waitMs === undefined
+    ? undecided(UNDECIDED_RETRY_MS)
+    : { kind: "over", comeBackMs: waitMs };
 }
--- a/src/serving/named-limits.ts
+++ b/src/serving/named-limits.ts
@@ -1,36 +1,40 @@
 /**
- * The limit that a worker names in its answers: how many requests a second it takes from all hosts together, for as long
- * as its answers say so. Answers may overtake one another, so one that lifts a limit or raises it counts only if its
- * request was sent after the limit was last named. Pure.
+ * The rate limit that a worker announces in its answers: how many requests per second it accepts
+ * from all hosts together. It is in force for as long as the answers announce it. Answers may
+ * overtake one another, so an answer that withdraws or raises the limit counts only if its request
+ * was sent after the limit was last announced. Pure.
  * @module
  */
 import type * as notices from "./notices.js";
 
-/** What is known of one worker's limit. */
+/** The known state of one worker's limit. */
 export interface Limit {
-  /** Requests a second; undefined once it was withdrawn. */
+  /** Requests per second; undefined once the limit is withdrawn. */
   readonly perS: number | undefined;
-  /** Grows with each change; of two hosts' knowledge the higher one counts. */
+  /** Increases with each change; when two hosts differ, the higher version wins. */
   readonly version: number;
-  /** Steady ms at which it was last named, or withdrawn. */
+  /** Steady ms at which the limit was last announced or withdrawn. */
   readonly at: number;
 }
 
-/** One answer of a worker. */
+/** What one answer of a worker says about its limit. */
 export interface Answer {
   readonly said: notices.Said<number>;
-  /** Steady ms at which its request was sent, and at which it came. */
+  /** Steady ms at which the request was sent and, in `at`, its answer arrived. */
   readonly sentAt: number;
   readonly at: number;
-  /** The worker ran the request: only then does silence mean that there is no limit. */
+  /**
+   * Whether the worker ran the request: only then does an answer without a limit mean that there is
+   * none.
+   */
   readonly ran: boolean;
 }
 
-/** What is known once an answer has come; the same value where it tells nothing new. */
+/** The state after an answer; the same object if the answer changes nothing. */
 export function observe(known: Limit | undefined, a: Answer): Limit | undefined {
   switch (a.said.kind) {
     case "said":
-      return named(known, a.said.value, a);
+      return announced(known, a.said.value, a);
     case "unsaid":
       if (known?.perS === undefined || !a.ran || a.sentAt < known.at) return known;
       return { perS: undefined, version: known.version + 1, at: a.at };
@@ -39,7 +43,7 @@
   }
 }
 
-function named(known: Limit | undefined, perS: number, a: Answer): Limit {
+function announced(known: Limit | undefined, perS: number, a: Answer): Limit {
   if (!known) return { perS, version: 1, at: a.at };
   if (known.perS === perS) return { ...known, at: a.at };
   const isRaised = known.perS !== undefined && perS > known.perS;
@@ -47,16 +51,16 @@
   return { perS, version: known.version + 1, at: a.at };
 }
 
-/** What another host knows of a worker's limit. */
+/** The state of a worker's limit as another host reports it. */
 export interface News {
   readonly perS?: number | undefined;
   readonly version: number;
 }
 
-/** What is known once another host's news has come; the same value where it tells nothing new. */
-export function learn(known: Limit | undefined, news: News, now: number): Limit {
-  const told: Limit = { perS: news.perS, version: news.version, at: now };
-  if (!known || news.version > known.version) return told;
-  if (news.version < known.version || news.perS === undefined) return known;
-  return known.perS === undefined || news.perS < known.perS ? told : known;
+/** The state after another host's report; the same object if the report changes nothing. */
+export function learn(known: Limit | undefined, update: News, now: number): Limit {
+  const reported: Limit = { perS: update.perS, version: update.version, at: now };
+  if (!known || update.version > known.version) return reported;
+  if (update.version < known.version || update.perS === undefined) return known;
+  return known.perS === undefined || update.perS < known.perS ? reported : known;
 }
--- a/src/serving/notice-messages.ts
+++ b/src/serving/notice-messages.ts
@@ -1,22 +1,22 @@
 /**
- * The message by which entry and endpoint daemons tell each other what workers say of themselves and what concerns all
- * hosts: their limits, and that they leave.
+ * The message by which entry and endpoint daemons tell each other those announcements of workers
+ * that concern all hosts: their limits, and that they are leaving.
  * @module
  */
 import * as zod from "zod";
 import type * as availability from "./availability.js";
 
-/** What is known of one start of a worker; told both ways. */
+/** The known state of one worker incarnation; sent in both directions. */
 export const notice = zod
   .object({
     kind: zod.literal("notice"),
     worker: zod.string().min(1),
-    /** Left out where it never named a limit. */
+    /** Left out if the worker never announced a limit. */
     limit: zod
       .object({
-        /** Requests a second; left out once it is withdrawn. */
+        /** Requests per second; left out once the limit is withdrawn. */
         perS: zod.number().nonnegative().optional(),
-        /** Grows with each change. */
+        /** Increases with each change. */
         version: zod.int().positive(),
       })
       .readonly()
@@ -26,7 +26,7 @@
   .readonly();
 export type Notice = zod.infer<typeof notice>;
 
-/** What is known of a worker, as it is told. */
+/** Makes the message for a worker's known state. */
 export function of(worker: string, { limit, leavingAt }: availability.Availability): Notice {
   return {
     kind: "notice",
@@ -38,7 +38,7 @@
   };
 }
 
-/** What a message tells. */
+/** The update that a message carries. */
 export function newsOf({ limit, leaving }: Notice): availability.News {
   return { limit, leaving };
 }
--- a/src/serving/notice-relay.ts
+++ b/src/serving/notice-relay.ts
@@ -1,7 +1,7 @@
 /**
- * An endpoint daemon's part in making known what workers say of themselves: it keeps what entry daemons tell it, and what
- * the worker beside it says in its reports, and tells all other entry daemons that are connected, and those that connect
- * later. It outlives the worker beside it.
+ * The endpoint daemon's side of worker announcements: it keeps what entry daemons report about
+ * workers and what the worker beside it says in its own reports, and sends it to all other
+ * connected entry daemons and to those that connect later. It outlives the worker beside it.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -9,58 +9,64 @@
 import * as availability from "./availability.js";
 import * as messages from "./notice-messages.js";
 
-/** Workers of which something is kept; those of which something changed longest ago go first. */
-const MOST = 4096;
+/**
+ * Maximum number of workers whose state is kept; the one whose state changed longest ago is evicted
+ * first.
+ */
+const MAX_WORKERS = 4096;
 
 export class NoticeRelay {
-  private readonly known = new Map<string, availability.Availability>();
+  private readonly states = new Map<string, availability.Availability>();
   private readonly clients = new Set<announcer.Client>();
 
   constructor(
     private readonly clk: clock.Clock,
-    /** Something is known that was not. */
-    private readonly changed: () => void,
+    /** Called when the state of a worker changed. */
+    private readonly onChange: () => void,
   ) {}
 
   join(c: announcer.Client): void {
     this.clients.add(c);
-    for (const [worker, at] of this.known) c.send(messages.of(worker, at));
+    for (const [worker, state] of this.states) c.send(messages.of(worker, state));
   }
 
   leave(c: announcer.Client): void {
     this.clients.delete(c);
   }
 
-  /** Whether a start of a worker is known to leave. */
+  /** Whether a worker incarnation is known to be leaving. */
   isLeaving(worker: string): boolean {
-    return this.known.get(worker)?.leavingAt !== undefined;
+    return this.states.get(worker)?.leavingAt !== undefined;
   }
 
-  /** An entry daemon tells of a worker; what is new goes on to the others. */
+  /**
+   * Takes in an entry daemon's report about a worker. Changes are sent to the other entry daemons;
+   * if the sender knows less than this daemon, it is sent the known state.
+   */
   hear(from: announcer.Client, m: messages.Notice): void {
-    const before = this.of(m.worker);
+    const before = this.stateOf(m.worker);
     const after = availability.learn(before, messages.newsOf(m), this.clk.steady());
-    if (after !== before) this.note(m.worker, after, from);
+    if (after !== before) this.update(m.worker, after, from);
     if (availability.isAhead(after, messages.newsOf(m))) from.send(messages.of(m.worker, after));
   }
 
-  /** The worker beside this daemon says something of itself. */
+  /** Takes in what the worker beside this daemon announces. */
   observe(worker: string, a: availability.Answer): void {
-    const before = this.of(worker);
+    const before = this.stateOf(worker);
     const after = availability.observe(before, a);
-    if (availability.isNews(before, after)) this.note(worker, after);
+    if (availability.isNews(before, after)) this.update(worker, after);
   }
 
-  private of(worker: string): availability.Availability {
-    return this.known.get(worker) ?? availability.UNKNOWN;
+  private stateOf(worker: string): availability.Availability {
+    return this.states.get(worker) ?? availability.UNKNOWN;
   }
 
-  private note(worker: string, at: availability.Availability, from?: announcer.Client): void {
-    this.known.delete(worker);
-    this.known.set(worker, at);
-    const [oldest] = this.known.keys();
-    if (this.known.size > MOST && oldest !== undefined) this.known.delete(oldest);
-    for (const c of this.clients) if (c !== from) c.send(messages.of(worker, at));
-    this.changed();
+  private update(worker: string, state: availability.Availability, from?: announcer.Client): void {
+    this.states.delete(worker);
+    this.states.set(worker, state);
+    const [oldest] = this.states.keys();
+    if (this.states.size > MAX_WORKERS && oldest !== undefined) this.states.delete(oldest);
+    for (const c of this.clients) if (c !== from) c.send(messages.of(worker, state));
+    this.onChange();
   }
 }
--- a/src/serving/notices.ts
+++ b/src/serving/notices.ts
@@ -1,26 +1,30 @@
 /**
- * What a worker says of itself in an answer, next to the answer itself. A protocol reads it from an answer's headers; what
- * is known of a worker from all its answers is its {@link availability}.
+ * What a worker announces about itself in an answer, next to the answer's content. A protocol
+ * parses it from the answer's headers; the state accumulated from all of a worker's answers is its
+ * {@link availability}.
  * @module
  */
 
-/** One thing that an answer says, or does not. */
+/** One announcement of an answer: parsed, absent, or not parsable. */
 export type Said<T> =
   | { readonly kind: "said"; readonly value: T }
   | { readonly kind: "unsaid" }
   | { readonly kind: "unreadable"; readonly text: string };
 
-/** What one answer says of its worker. */
+/** What one answer announces about its worker. */
 export interface Notice {
-  /** Requests a second that it takes from all hosts together. */
+  /** Requests per second that it accepts from all hosts together. */
   readonly limit: Said<number>;
-  /** It leaves. */
+  /** Whether it is leaving. */
   readonly leaving: Said<true>;
-  /** Milliseconds for which it wants no request from the host that it answers. */
+  /**
+   * Length of the requested pause: milliseconds for which it accepts no request from the host that
+   * it answers.
+   */
   readonly retryAfterMs: Said<number>;
 }
 
 export const UNSAID = { kind: "unsaid" } as const;
 
-/** The notice of an answer that says nothing. */
+/** The notice of an answer without announcements. */
 export const NOTHING: Notice = { limit: UNSAID, leaving: UNSAID, retryAfterMs: UNSAID };
--- a/src/serving/quarantine.ts
+++ b/src/serving/quarantine.ts
@@ -1,18 +1,21 @@
 /**
- * Requests in quarantine, as the store keeps them: one key each, which vanishes with the evidence. So those that all
- * hosts have found together outlast a restart of all of them, and an operator sees, sets and releases them by their
- * keys.
+ * Quarantined requests as stored: one key per request, which expires together with the evidence. So
+ * quarantines that all hosts agreed on survive a restart of all of them, and operators can list,
+ * set and release them by their keys.
  * @module
  */
 import * as zod from "zod";
 import type * as feed from "./feed.js";
 
-/** What the keys begin with; the rest is the request's identity. */
+/** Prefix of the keys; the rest is the request's identity. */
 export const PREFIX = "sumacfield/quarantine/";
 
-/** What a key holds, for operators; the key alone decides. */
+/**
+ * The value of a key, for operators only: a request is in quarantine if its key exists, whatever
+ * the value.
+ */
 export interface Evidence {
-  /** Workers that ended under the request; none where an operator set the key. */
+  /** Workers that crashed while running the request; empty if an operator set the key. */
   readonly workers: readonly string[];
   readonly at: Date;
 }
@@ -23,27 +26,27 @@
   return JSON.stringify(e);
 }
 
-/** What a key holds; undefined for what another program wrote. */
+/** Parses the value of a key; undefined if another program wrote it. */
 export function decode(text: string): Evidence | undefined {
   try {
     return evidence.parse(JSON.parse(text));
   } catch {
-    // The key decides by being there, whatever it holds; there is nothing to show of it.
+    // The existence of the key decides, whatever its value; there is no evidence to show.
     return undefined;
   }
 }
 
-/** The key of a request. */
+/** The key for a request's identity. */
 export function keyOf(identity: string): string {
   return PREFIX + identity;
 }
 
-/** The identity in a key; undefined for a key of something else. */
+/** The identity in a key; undefined if the key belongs to something else. */
 export function identityOf(key: string): string | undefined {
   return key.startsWith(PREFIX) ? key.slice(PREFIX.length) : undefined;
 }
 
-/** A decoder that reads these keys too. What a key holds does not matter. */
+/** Extends a decoder to these keys. Their values are ignored. */
 export function decoding(inner: feed.Decoder): feed.Decoder {
   return {
     prefixes: [...inner.prefixes, PREFIX],
--- a/src/serving/suspects.ts
+++ b/src/serving/suspects.ts
@@ -1,6 +1,7 @@
 /**
- * An entry daemon's part in finding requests that end their workers: it notes what ended under those that it
- * sent, tells a few endpoint daemons, which tell all entry daemons, and says what is to be done with a request.
+ * The entry daemon's side of finding requests that crash their workers: it records crashes of
+ * workers under the requests that it sent, tells a few endpoint daemons, which tell all entry
+ * daemons, and decides whether a request may be sent.
  * @module
  */
 import * as clock from "../host/clock.js";
@@ -19,38 +20,43 @@
   readonly log: record.Log;
   readonly catalog: () => catalog.Catalog;
   readonly autopsy: autopsy.Autopsy;
-  /** Tells some endpoint daemons, the same ones for a key as long as they are reached. */
+  /**
+   * Sends a message to some endpoint daemons: always the same ones for a key, as long as they are
+   * connected.
+   */
   readonly tell: (key: string, m: hearsay.Message) => void;
-  /** Creates a key in the store that vanishes after `ttlMs`; throws when that is in doubt. */
+  /** Creates a key in the store that expires after `ttlMs`; throws if the outcome is unknown. */
   readonly claim: (key: string, ttlMs: number, text: string) => Promise<boolean>;
 }
 
-/** Milliseconds until a key that could not be written is tried again. */
+/** Milliseconds before persisting a key to the store is retried. */
 const RETRY_MS = 1000;
 /**
- * Milliseconds for which a proof must hold before it is kept in the store, where it stays: ends of other workers that
- * become known meanwhile may show that workers end by themselves. Until then it holds as long as it is proved.
+ * Milliseconds for which the proof against a request must hold before the request is written to the
+ * store, from which it is not withdrawn. Crashes of other workers that become known in the meantime
+ * may show that workers crash anyway. Until it is written, the quarantine holds only while it is
+ * proved.
  */
-const SETTLE_MS = 2500;
+const CONFIRM_MS = 2500;
 
 export class Suspects {
   private readonly known: hearsay.Hearsay;
-  /** What this host has seen itself; endpoint daemons that it connects to later hear of it. */
-  private readonly seen: hearsay.Hearsay;
-  /** Requests whose key in the store is being written. */
-  private readonly writing = new Set<string>();
+  /** What this host has observed itself; sent to endpoint daemons on a new connection. */
+  private readonly observed: hearsay.Hearsay;
+  /** Identities whose key in the store is being written. */
+  private readonly persisting = new Set<string>();
 
   constructor(private readonly deps: Deps) {
     this.known = new hearsay.Hearsay(deps);
-    this.seen = new hearsay.Hearsay(deps);
+    this.observed = new hearsay.Hearsay(deps);
   }
 
-  /** Requests under which workers ended lately. */
+  /** Number of requests under which workers crashed recently. */
   get size(): number {
     return this.known.book.ends.size;
   }
 
-  /** What is to be thought of a request. Costs nothing while no request is under suspicion. */
+  /** The verdict on a request. Computes no hash while no request is suspected. */
   judge(a: ask.Ask): suspicion.Verdict {
     const { quarantined } = this.deps.catalog();
     if (this.known.isQuiet && quarantined.size === 0) return suspicion.FREE;
@@ -60,20 +66,24 @@
     return { kind: "quarantined", workers: [], releaseMs: suspicion.LAPSE_MS };
   }
 
-  /** An operator released a request, or its time is over: what was known of it counts no more. */
+  /** Voids the known crashes of a request that an operator released or whose quarantine expired. */
   released(id: string): void {
-    const own = this.known.book.ends.get(id);
-    if (own) this.tell({ kind: "ran", identity: id, workers: [...own.keys()], ageMs: 0 });
+    const crashes = this.known.book.ends.get(id);
+    if (crashes)
+      this.publish({ kind: "ran", identity: id, workers: [...crashes.keys()], ageMs: 0 });
   }
 
-  /** A send broke off after `underWayMs`; resolves once it is known whether its worker ended. */
+  /**
+   * Records that a send broke off after `underWayMs`; resolves once it is known whether the worker
+   * crashed.
+   */
   async broke(a: ask.Ask, worker: catalog.Endpoint, underWayMs: number): Promise<void> {
-    // A worker that leaves ends as it said; that proves nothing.
+    // A worker that announced that it is leaving ends as planned; that proves nothing.
     if (!catalog.isInUse(this.deps.catalog(), worker)) return;
     if (!(await this.deps.autopsy.hasEnded(worker))) return;
     const id = identity.of(a);
     const peers = Math.max(1, catalog.endpointsOf(this.deps.catalog(), a.service).length);
-    this.tell({ kind: "ended", identity: id, worker: worker.id, underWayMs, peers, ageMs: 0 });
+    this.publish({ kind: "ended", identity: id, worker: worker.id, underWayMs, peers, ageMs: 0 });
     const verdict = this.verdict(id);
     this.deps.log.warn("A worker ended under a request.", {
       request: a.meta.id,
@@ -83,14 +93,14 @@
       peers,
       verdict: verdict.kind,
     });
-    if (verdict.kind === "quarantined") void this.keep(id);
+    if (verdict.kind === "quarantined") void this.persist(id);
   }
 
-  /** Writes a request in quarantine to the store, where it outlasts all hosts. */
-  private async keep(id: string): Promise<void> {
-    if (this.writing.has(id)) return;
-    this.writing.add(id);
-    await clock.sleep(this.deps.clock, SETTLE_MS);
+  /** Writes a quarantined request to the store, where it survives a restart of all hosts. */
+  private async persist(id: string): Promise<void> {
+    if (this.persisting.has(id)) return;
+    this.persisting.add(id);
+    await clock.sleep(this.deps.clock, CONFIRM_MS);
     while (this.isProved(id) && !this.deps.catalog().quarantined.has(id)) {
       try {
         const { workers } = this.verdict(id);
@@ -98,14 +108,14 @@
         await this.deps.claim(quarantine.keyOf(id), suspicion.LAPSE_MS, text);
         break;
       } catch (err) {
-        this.deps.log.warn("A request in quarantine could not be written to the store.", {
+        this.deps.log.warn("Could not write a quarantined request to the store.", {
           identity: id,
           why: errors.why(err),
         });
         await clock.sleep(this.deps.clock, RETRY_MS);
       }
     }
-    this.writing.delete(id);
+    this.persisting.delete(id);
   }
 
   private isProved(id: string): boolean {
@@ -116,47 +126,48 @@
     return suspicion.judge(this.known.book, id, this.deps.clock.mono());
   }
 
-  /** A request ran to its end, so those workers did not end for it. */
+  /** Records that a request ran to its end, which voids the crashes known for it. */
   ran(a: ask.Ask): void {
     if (this.known.isQuiet) return;
     const id = identity.of(a);
-    const own = this.known.book.ends.get(id);
-    if (!own) return;
-    const workers = [...own.keys()];
-    this.tell({ kind: "ran", identity: id, workers, ageMs: 0 });
-    this.deps.log.info(
-      "A request ran that workers had ended under; it is under suspicion no more.",
-      {
-        request: a.meta.id,
-        identity: id,
-        workers,
-      },
-    );
+    const crashes = this.known.book.ends.get(id);
+    if (!crashes) return;
+    const workers = [...crashes.keys()];
+    this.publish({ kind: "ran", identity: id, workers, ageMs: 0 });
+    this.deps.log.info("A suspected request ran to its end; it is no longer suspected.", {
+      request: a.meta.id,
+      identity: id,
+      workers,
+    });
   }
 
-  /** An endpoint daemon tells what it heard. */
+  /** Takes in a message that an endpoint daemon relays. */
   hear(m: hearsay.Message, peer: string): void {
-    for (const n of this.known.hear(m, peer)) this.note(n, peer);
+    for (const n of this.known.hear(m, peer)) this.noteQuarantine(n, peer);
   }
 
-  /** What an endpoint daemon is told that has just been connected to. */
+  /** The messages for a newly connected endpoint daemon. */
   retold(): readonly hearsay.Message[] {
-    return this.seen.retold();
+    return this.observed.retold();
   }
 
-  private tell(n: suspicion.News): void {
+  private publish(n: suspicion.News): void {
     this.known.take([n]);
-    this.seen.take([n]);
+    this.observed.take([n]);
     for (const m of hearsay.messages([n])) this.deps.tell(n.identity, m);
   }
 
-  /** Writes down when a request is in quarantine for what another host saw. */
-  private note(n: suspicion.News, peer: string): void {
+  /**
+   * Handles a crash reported by another host: if it puts a request in quarantine, the quarantine is
+   * logged, and persisted if this host has observed crashes of that request itself.
+   */
+  private noteQuarantine(n: suspicion.News, peer: string): void {
     const verdict = this.verdict(n.identity);
     if (n.kind !== "ended" || verdict.kind !== "quarantined") return;
-    // Of the hosts that saw some of it each writes, since none of them need have seen all.
-    if (this.seen.book.ends.has(n.identity)) void this.keep(n.identity);
-    this.deps.log.warn("A request is in quarantine: it ended its workers.", {
+    // Each host that observed one of the crashes writes the key, since possibly none of them
+    // observed all.
+    if (this.observed.book.ends.has(n.identity)) void this.persist(n.identity);
+    this.deps.log.warn("A request is in quarantine: it crashed its workers.", {
       identity: n.identity,
       workers: verdict.workers,
       peer,
--- a/src/serving/worker-notices.ts
+++ b/src/serving/worker-notices.ts
@@ -1,10 +1,13 @@
 /**
- * An entry daemon's part in heeding what workers say of themselves: it learns of it from the answers that it passes on and
- * from other entry daemons, by way of endpoint daemons, and gives permits to send under the limits that all hosts share.
+ * The entry daemon's side of worker announcements (a rate limit, that the worker is leaving, a
+ * pause): it learns of them from the answers that it passes on and from other entry daemons by way
+ * of endpoint daemons, and gives out permits to send under the limits, which all hosts share.
  *
- * The load that this answers is a worker in need that all hosts would go on sending to: each send, a retry too, takes one
- * request of the limit before it is made. In any window a worker then gets what flows in during the window, and what was
- * let in before and arrives late: {@link admission.TURN_MS}, {@link GOOD_MS} and the time of a connection together, and the burst.
+ * It protects a worker in need, to which all hosts would otherwise go on sending: each send,
+ * including each retry, takes one request of the limit before it is made. So in any time window a
+ * worker gets at most the limit's refill during the window, the burst, and what was admitted
+ * earlier and arrives late: that is bounded by the sum of {@link admission.TURN_MS}, {@link
+ * PERMIT_VALID_MS} and the time to connect.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -18,30 +21,38 @@
 import * as noticeMessages from "./notice-messages.js";
 import type * as notices from "./notices.js";
 
-/** Milliseconds for which a permit is good; after that it is asked for anew. */
-const GOOD_MS = 600;
-/** Milliseconds by which a turn may come later than this host expects. */
-const MARGIN_MS = 60;
-/** Requests that may come at once after a quiet time. */
+/** Milliseconds for which a permit is valid; after that a new one is needed. */
+const PERMIT_VALID_MS = 600;
+/** Milliseconds by which a request's turn may come later than this host expects. */
+const TURN_MARGIN_MS = 60;
+/** Burst of a worker's limit: requests that may be sent at once after an idle time. */
 const BURST = 4;
-/** Requests a second that a worker gets at least, so that its answers can tell when its limit is over. */
-const LEAST_PER_S = 0.2;
-/** Milliseconds within which hosts send freely again, one after the other, once a limit is withdrawn. */
+/**
+ * Minimum requests per second that a worker gets, so that its answers can show when its limit is
+ * withdrawn.
+ */
+const MIN_PER_S = 0.2;
+/**
+ * Once a limit is withdrawn, each host sends without limit again after a random delay of up to this
+ * many milliseconds, so that the hosts don't all return at once.
+ */
 const RELEASE_MS = 1500;
-/** Milliseconds for which is kept what is known of a worker that is not registered, or no more. */
-const UNREGISTERED_MS = 600_000;
+/**
+ * Milliseconds after its last announcement for which the state of an unregistered worker is kept.
+ */
+const UNREGISTERED_KEEP_MS = 600_000;
 
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: record.Log;
   readonly limiter: limiter.Limiter;
-  /** Tells other entry daemons what a worker says of itself. */
+  /** Sends a worker's announcements to the other entry daemons. */
   readonly tell: (e: catalog.Endpoint, m: noticeMessages.Notice) => void;
-  /** From 0 up to 1. */
+  /** Uniform random number from 0 up to, but not including, 1. */
   readonly random: () => number;
 }
 
-/** One answer of a worker, and the request that it belongs to. */
+/** What one answer of a worker announces, and the request that it answers. */
 export interface Heard {
   readonly request: string;
   readonly notice: notices.Notice;
@@ -50,198 +61,226 @@
   readonly ran: boolean;
 }
 
-/** Leave to send one request to a worker. */
+/** Permission to send one request to a worker. */
 export interface Granted {
   readonly kind: "in";
   readonly delayMs: number;
-  /** Whether it may still be sent; asked right before. */
+  /** Whether the request may still be sent; checked right before sending. */
   readonly isGood: () => boolean;
-  /** It was not sent. */
+  /** Returns the permit: the request was not sent. */
   readonly giveBack: () => void;
 }
 
-/** Whether one request may be sent to a worker. */
+/** The decision on sending one request to a worker. */
 export type Permit =
   | Granted
-  /** Its turn under the limit that the worker names comes later. */
+  /** Refused for now: its turn under the worker's limit comes in `waitMs`. */
   | { readonly kind: "out"; readonly waitMs: number };
 
-interface Known {
-  readonly at: availability.Availability;
-  /** Requests a second that it named last. */
-  readonly perS: number;
-  /** Steady ms from which this host sends freely again, where the limit was withdrawn. */
-  readonly freeAt: number;
-  /** Steady ms at which it last said something of itself. */
+interface WorkerState {
+  readonly announced: availability.Availability;
+  /** Requests per second that it announced last. */
+  readonly lastPerS: number;
+  /** Steady ms from which this host sends without limit again after the limit was withdrawn. */
+  readonly unlimitedAt: number;
+  /** Steady ms at which its state last changed. */
   readonly heardAt: number;
 }
 
 export class WorkerNotices {
-  private readonly known = new Map<string, Known>();
-  /** What workers said that could not be read: a worker's id and which of its notices it was. */
-  private readonly unreadable = new Map<string, Set<string>>();
-  /** Monotonic ms until which a worker lets in nothing of this host, as last heard. */
-  private readonly outUntil = new Map<string, number>();
-  /** Who waits for something at a worker, and is told when that takes no requests any more. */
-  private readonly waiting = new Map<string, Set<() => void>>();
+  private readonly workers = new Map<string, WorkerState>();
+  /**
+   * Announcements that could not be parsed and were logged, by worker id: the names of the notices.
+   */
+  private readonly loggedUnreadable = new Map<string, Set<string>>();
+  /**
+   * Monotonic ms until which a worker's limit admits no request of this host, as of the last
+   * refusal.
+   */
+  private readonly limitedUntil = new Map<string, number>();
+  /** Listeners waiting for something at a worker, called when it stops taking requests. */
+  private readonly closedListeners = new Map<string, Set<() => void>>();
 
   constructor(private readonly deps: Deps) {}
 
-  /** Workers that name a limit. */
+  /** Number of workers that announce a limit. */
   get size(): number {
-    return this.count((at) => at.limit?.perS !== undefined);
+    return this.count((a) => a.limit?.perS !== undefined);
   }
 
-  /** Workers that say that they leave. */
+  /** Number of workers that have announced that they are leaving. */
   get leaving(): number {
-    return this.count((at) => at.leavingAt !== undefined);
+    return this.count((a) => a.leavingAt !== undefined);
   }
 
-  /** Workers that want nothing from this host for now. */
+  /** Number of workers in a pause for this host. */
   get paused(): number {
     const now = this.deps.clock.steady();
-    return this.count((at) => (at.pause?.until ?? 0) > now);
+    return this.count((a) => (a.pause?.until ?? 0) > now);
   }
 
-  private count(isOne: (at: availability.Availability) => boolean): number {
-    return [...this.known.values()].filter((k) => isOne(k.at)).length;
+  private count(matches: (a: availability.Availability) => boolean): number {
+    return [...this.workers.values()].filter((k) => matches(k.announced)).length;
   }
 
-  /** Requests a second that a worker takes from all hosts together; undefined where this host sends freely. */
+  /**
+   * Requests per second that a worker accepts from all hosts together; undefined if this host may
+   * send without limit.
+   */
   of(id: string): number | undefined {
-    const k = this.known.get(id);
-    if (!k?.at.limit) return undefined;
-    if (k.at.limit.perS !== undefined) return k.at.limit.perS;
-    return this.deps.clock.steady() < k.freeAt ? k.perS : undefined;
+    const k = this.workers.get(id);
+    if (!k?.announced.limit) return undefined;
+    if (k.announced.limit.perS !== undefined) return k.announced.limit.perS;
+    return this.deps.clock.steady() < k.unlimitedAt ? k.lastPerS : undefined;
   }
 
-  /** Milliseconds until a worker's limit lets one more request in, as last heard; 0 where it does now or has none. */
+  /**
+   * Milliseconds until a worker's limit admits one more request, as of the last refusal; 0 if it
+   * admits one now or there is no limit.
+   */
   waitMs(id: string): number {
     if (this.of(id) === undefined) return 0;
-    return Math.max(0, (this.outUntil.get(id) ?? -Infinity) - this.deps.clock.mono());
+    return Math.max(0, (this.limitedUntil.get(id) ?? -Infinity) - this.deps.clock.mono());
   }
 
-  /** Milliseconds until an endpoint takes a request of this host, its limit apart; Infinity where it leaves. */
+  /**
+   * Milliseconds until an endpoint accepts a request of this host, leaving its limit aside;
+   * Infinity if it is leaving.
+   */
   opensInMs(e: catalog.Endpoint): number {
     if (e.leaving) return Infinity;
-    return availability.opensInMs(this.at(e.id), this.deps.clock.steady());
+    return availability.opensInMs(this.announcedBy(e.id), this.deps.clock.steady());
   }
 
-  /** Why an endpoint takes no request of this host now, or how many it takes; undefined where nothing bounds it. */
+  /**
+   * Why an endpoint accepts no request of this host now, or only a limited number; undefined if
+   * there is no restriction.
+   */
   reason(e: catalog.Endpoint): meters.Reason | undefined {
-    if (e.leaving || this.at(e.id).leavingAt !== undefined) return "leaving";
+    if (e.leaving || this.announcedBy(e.id).leavingAt !== undefined) return "leaving";
     if (this.opensInMs(e) > 0) return "pause";
     return this.of(e.id) === undefined ? undefined : "limit";
   }
 
-  /** A request is sent to an endpoint. */
+  /** Records that a request is sent to an endpoint. */
   sent(e: catalog.Endpoint): void {
-    const known = this.known.get(e.id);
+    const known = this.workers.get(e.id);
     if (!known) return;
-    const at = availability.sent(known.at, this.deps.clock.steady());
-    this.known.set(e.id, { ...known, at });
+    const announced = availability.sent(known.announced, this.deps.clock.steady());
+    this.workers.set(e.id, { ...known, announced });
   }
 
-  private at(id: string): availability.Availability {
-    return this.known.get(id)?.at ?? availability.UNKNOWN;
+  private announcedBy(id: string): availability.Availability {
+    return this.workers.get(id)?.announced ?? availability.UNKNOWN;
   }
 
-  /** Calls `tell` when a worker takes no requests any more, or none for a while; returns what takes that back. */
-  whenClosed(id: string, tell: () => void): () => void {
-    const at = this.waiting.get(id) ?? new Set();
-    this.waiting.set(id, at);
-    at.add(tell);
+  /**
+   * Calls `listener` when a worker stops accepting requests, for good or for a while; returns a
+   * function that removes the listener.
+   */
+  whenClosed(id: string, listener: () => void): () => void {
+    const listeners = this.closedListeners.get(id) ?? new Set();
+    this.closedListeners.set(id, listeners);
+    listeners.add(listener);
     return () => {
-      at.delete(tell);
-      if (at.size === 0 && this.waiting.get(id) === at) this.waiting.delete(id);
+      listeners.delete(listener);
+      if (listeners.size === 0 && this.closedListeners.get(id) === listeners)
+        this.closedListeners.delete(id);
     };
   }
 
-  /** The limits, as totals over all hosts. */
+  /** The workers' limits as totals, which all hosts share. */
   totals(): readonly messages.Total[] {
-    return [...this.known.keys()].flatMap((id) => this.total(id) ?? []);
+    return [...this.workers.keys()].flatMap((id) => this.total(id) ?? []);
   }
 
-  /** Asks for a permit to send one request to a worker now, or after it has waited for its turn. */
+  /** Requests a permit to send one request to a worker, now or after waiting for its turn. */
   async admit(e: catalog.Endpoint): Promise<Permit> {
     const total = this.total(e.id);
-    if (!total) return this.free(e);
-    const patienceMs = Math.min(admission.TURN_MS, this.waitMs(e.id) + MARGIN_MS);
+    if (!total) return this.unlimitedPermit(e);
+    const patienceMs = Math.min(admission.TURN_MS, this.waitMs(e.id) + TURN_MARGIN_MS);
     const verdict = await this.deps.limiter.admit(total, 1, patienceMs);
     const now = this.deps.clock.mono();
     if (verdict.kind !== "in") {
-      this.outUntil.set(e.id, now + verdict.comeBackMs);
+      this.limitedUntil.set(e.id, now + verdict.comeBackMs);
       return { kind: "out", waitMs: verdict.comeBackMs };
     }
-    const goodUntil = now + verdict.delayMs + GOOD_MS;
+    const validUntil = now + verdict.delayMs + PERMIT_VALID_MS;
     return {
       kind: "in",
       delayMs: verdict.delayMs,
-      isGood: () => this.deps.clock.mono() < goodUntil && this.opensInMs(e) === 0,
+      isGood: () => this.deps.clock.mono() < validUntil && this.opensInMs(e) === 0,
       giveBack: () => {
         this.deps.limiter.refund(total, 1);
       },
     };
   }
 
-  /** An answer of a worker came. */
+  /** Takes in an answer of a worker. */
   heard(e: catalog.Endpoint, h: Heard): void {
-    this.readable(e, h);
+    this.logUnreadable(e, h);
     const now = this.deps.clock.steady();
-    const before = this.at(e.id);
+    const before = this.announcedBy(e.id);
     const after = availability.observe(before, { ...h, at: now });
     if (after === before) return;
-    this.note(e.id, after);
+    this.update(e.id, after);
     const from = { request: h.request, sentMsAgo: Math.round(now - h.sentAt) };
-    this.log(e.id, before, after, from);
+    this.logChanges(e.id, before, after, from);
     if (availability.isNews(before, after)) this.deps.tell(e, noticeMessages.of(e.id, after));
   }
 
-  /** Another entry daemon tells what a worker says of itself. */
+  /** Takes in a worker's state as another entry daemon knows it. */
   learn(m: noticeMessages.Notice, peer: string): void {
-    const before = this.at(m.worker);
+    const before = this.announcedBy(m.worker);
     const news = noticeMessages.newsOf(m);
     const after = availability.learn(before, news, this.deps.clock.steady());
     if (after === before) return;
-    this.note(m.worker, after);
-    this.log(m.worker, before, after, { peer });
+    this.update(m.worker, after);
+    this.logChanges(m.worker, before, after, { peer });
   }
 
-  /** What is known of the workers that `isOf` picks, for a daemon that has just been reached. */
+  /** The known state of the workers that `isOf` selects, for a newly connected daemon. */
   retold(isOf: (id: string) => boolean): readonly noticeMessages.Notice[] {
-    return [...this.known]
-      .filter(([id, { at }]) => availability.isNews(availability.UNKNOWN, at) && isOf(id))
-      .map(([id, { at }]) => noticeMessages.of(id, at));
+    return [...this.workers]
+      .filter(
+        ([id, { announced }]) => availability.isNews(availability.UNKNOWN, announced) && isOf(id),
+      )
+      .map(([id, { announced }]) => noticeMessages.of(id, announced));
   }
 
-  /** Forgets workers that are there no more; what is told of one may come before it is known here. */
+  /**
+   * Forgets workers that are no longer registered, after a while: reports about a worker may arrive
+   * before its registration.
+   */
   keep(ids: ReadonlySet<string>): void {
     const now = this.deps.clock.steady();
-    for (const [id, { heardAt }] of this.known) {
-      if (ids.has(id) || now - heardAt < UNREGISTERED_MS) continue;
-      for (const held of [this.known, this.outUntil, this.unreadable]) held.delete(id);
+    for (const [id, { heardAt }] of this.workers) {
+      if (ids.has(id) || now - heardAt < UNREGISTERED_KEEP_MS) continue;
+      for (const byId of [this.workers, this.limitedUntil, this.loggedUnreadable]) byId.delete(id);
     }
   }
 
-  private note(id: string, at: availability.Availability): void {
-    const before = this.known.get(id);
+  private update(id: string, announced: availability.Availability): void {
+    const before = this.workers.get(id);
     const heardAt = this.deps.clock.steady();
-    const isChanged = at.limit?.version !== before?.at.limit?.version;
-    const perS = at.limit?.perS ?? before?.perS ?? 0;
-    const freeAt = isChanged ? heardAt + this.deps.random() * RELEASE_MS : (before?.freeAt ?? 0);
-    this.known.set(id, { at, perS, freeAt, heardAt });
-    if (isChanged) this.deps.limiter.refresh();
-    if (availability.opensInMs(at, heardAt) > 0)
-      for (const tell of this.waiting.get(id) ?? []) tell();
+    const isLimitChanged = announced.limit?.version !== before?.announced.limit?.version;
+    const lastPerS = announced.limit?.perS ?? before?.lastPerS ?? 0;
+    const unlimitedAt = isLimitChanged
+      ? heardAt + this.deps.random() * RELEASE_MS
+      : (before?.unlimitedAt ?? 0);
+    this.workers.set(id, { announced, lastPerS, unlimitedAt, heardAt });
+    if (isLimitChanged) this.deps.limiter.refresh();
+    if (availability.opensInMs(announced, heardAt) > 0)
+      for (const listener of this.closedListeners.get(id) ?? []) listener();
   }
 
   private total(id: string): messages.Total | undefined {
     const perS = this.of(id);
-    const version = this.known.get(id)?.at.limit?.version;
+    const version = this.workers.get(id)?.announced.limit?.version;
     if (perS === undefined || version === undefined) return undefined;
     return {
       key: limiter.workerKey(id),
-      perS: Math.max(perS, LEAST_PER_S),
+      perS: Math.max(perS, MIN_PER_S),
       burst: BURST,
       overdraft: 0,
       aheadMs: admission.TURN_MS,
@@ -249,8 +288,8 @@
     };
   }
 
-  /** A permit for a worker that names no limit, good for as long as it does not. */
-  private free(e: catalog.Endpoint): Permit {
+  /** A permit for a worker without a limit, valid until it announces one. */
+  private unlimitedPermit(e: catalog.Endpoint): Permit {
     return {
       kind: "in",
       delayMs: 0,
@@ -259,8 +298,8 @@
     };
   }
 
-  /** Logs what is new of a worker. */
-  private log(
+  /** Logs the changes of a worker's state. */
+  private logChanges(
     endpoint: string,
     before: availability.Availability,
     after: availability.Availability,
@@ -290,14 +329,14 @@
     }
   }
 
-  /** Logs what an answer says that can't be read, once for each worker. */
-  private readable(e: catalog.Endpoint, h: Heard): void {
+  /** Logs announcements that can't be parsed, once per worker and kind of notice. */
+  private logUnreadable(e: catalog.Endpoint, h: Heard): void {
     for (const [notice, said] of Object.entries(h.notice) as [string, notices.Said<unknown>][]) {
       if (said.kind !== "unreadable") continue;
-      const told = this.unreadable.get(e.id) ?? new Set();
-      this.unreadable.set(e.id, told);
-      if (told.has(notice)) continue;
-      told.add(notice);
+      const logged = this.loggedUnreadable.get(e.id) ?? new Set();
+      this.loggedUnreadable.set(e.id, logged);
+      if (logged.has(notice)) continue;
+      logged.add(notice);
       this.deps.log.warn("What a worker says of itself cannot be read.", {
         endpoint: e.id,
         notice,
