--- a/test/serving/allowance.test.ts
+++ b/test/serving/allowance.test.ts
@@ -7,10 +7,10 @@
 const CAP: allowance.Cap = { perS: 100, burst: 200 };
 const ALONE = 1;
 
-/** Asks for requests that wait for nothing. */
+/** A draw whose requests don't wait. */
 const atOnce = (...wants: readonly number[]): allowance.Wish => ({ wants, patienceMs: 0 });
 
-describe("an allowance", () => {
+describe("a token balance", () => {
   it("begins empty, fills at the cap's rate, and holds the burst at most", () => {
     const a = allowance.begun(0, 0);
     expect(allowance.flow(a, CAP, ALONE, 500).level).equal(50);
@@ -19,13 +19,13 @@
     expect(allowance.draw(allowance.begun(0, 30), CAP, ALONE, atOnce(1), 30).granted).equal(0);
   });
 
-  it("keeps what is there when its part shrinks, and no more than a lowered cap", () => {
+  it("keeps its units when its part shrinks, and no more than the burst of a lowered cap", () => {
     const a = { level: 150, at: 0 };
     expect(allowance.flow(a, CAP, 0, 1000).level).equal(150);
     expect(allowance.flow(a, { perS: 10, burst: 20 }, ALONE, 1000).level).equal(20);
   });
 
-  it("lets in the first that fit, in their order, and says when the next would be", () => {
+  it("admits requests in order up to the first that does not fit, and tells when that one would", () => {
     const got = allowance.draw({ level: 100, at: 0 }, CAP, ALONE, atOnce(60, 40, 30, 10), 0);
     expect(got).deep.equal({
       left: { level: 0, at: 0 },
@@ -35,24 +35,24 @@
     });
   });
 
-  it("lets a request in that exceeds what is left by the overdraft, and makes up for it", () => {
+  it("admits a request that exceeds the balance by the overdraft, which later requests pay back", () => {
     const got = allowance.draw({ level: 30, at: 0 }, CAP, ALONE, atOnce(60), 30);
     expect(got.granted).equal(1);
     expect(got.left.level).equal(-30);
     expect(allowance.draw(got.left, CAP, ALONE, atOnce(1), 30).waitMs).equal(10);
   });
 
-  it("lets a request larger than the cap's burst in when it is full, but not where it has a small part", () => {
+  it("admits a request larger than the burst when full, but not with a small part of the hosts", () => {
     expect(allowance.draw({ level: 200, at: 0 }, CAP, ALONE, atOnce(500), 0).granted).equal(1);
     expect(allowance.draw({ level: 20, at: 0 }, CAP, 0.1, atOnce(500), 0).waitMs).equal(undefined);
   });
 
-  it("gives back what did not run, up to the burst", () => {
+  it("refunds requests that did not run, up to the burst", () => {
     expect(allowance.refund({ level: 100, at: 0 }, CAP, 60).level).equal(160);
     expect(allowance.refund({ level: 180, at: 0 }, CAP, 60).level).equal(200);
   });
 
-  it("never lets in more than has flowed in, however time and parts go", () => {
+  it("never admits more than was refilled, whatever the times and parts", () => {
     const moves = fc.array(
       fc.record({
         ms: fc.nat(3000),
--- a/test/serving/availability.test.ts
+++ b/test/serving/availability.test.ts
@@ -6,7 +6,7 @@
 
 const { expect } = chai;
 
-/** An answer that came at `at`, 10 ms after its request was sent. */
+/** An answer that arrived at `at`, 10 ms after its request was sent. */
 function answer(at: number, said: Partial<notices.Notice>): availability.Answer {
   return { notice: { ...notices.NOTHING, ...said }, sentAt: at - 10, at, ran: true };
 }
@@ -21,18 +21,18 @@
   return answers.reduce(availability.observe, availability.UNKNOWN);
 }
 
-describe("what is known of a worker that speaks of itself", () => {
-  it("is the same value where an answer tells nothing new", () => {
+describe("a worker's availability", () => {
+  it("is the same object after an answer that changes nothing", () => {
     const known = after(answer(10, LEAVING));
     expect(availability.observe(known, answer(20, {}))).equal(known);
     expect(availability.observe(known, answer(20, LEAVING))).equal(known);
   });
 
-  it("holds that it leaves, whatever later answers say", () => {
+  it("stays leaving, whatever later answers say", () => {
     expect(after(answer(10, LEAVING), answer(20, {})).leavingAt).equal(10);
   });
 
-  it("holds the pause that ends last", () => {
+  it("keeps the pause that ends last", () => {
     const until = after(answer(10, pausing(3000))).pause?.until ?? 0;
     expect(until).within(3010, 3060);
     expect(after(answer(10, pausing(3000)), answer(500, pausing(800))).pause?.until).equal(until);
@@ -40,11 +40,11 @@
     expect(later).equal(until + 490);
   });
 
-  it("holds no pause of no time", () => {
+  it("ignores a pause of 0 ms", () => {
     expect(after(answer(10, pausing(0)))).equal(availability.UNKNOWN);
   });
 
-  it("takes nothing once it leaves, and nothing until its pause is over", () => {
+  it("is closed once it is leaving, and until its pause is over", () => {
     expect(availability.opensInMs(after(answer(10, LEAVING)), 1e9)).equal(Infinity);
     const known = after(answer(10, pausing(3000)));
     const until = known.pause?.until ?? 0;
@@ -52,7 +52,7 @@
     expect(availability.opensInMs(known, until)).equal(0);
   });
 
-  it("takes one request at a time after its pause, until one is answered without asking for another", () => {
+  it("opens for one request at a time after a pause, until one is answered without asking for another", () => {
     const known = after(answer(10, pausing(1000)));
     const until = known.pause?.until ?? 0;
     const tried = availability.sent(known, until + 5);
@@ -64,12 +64,12 @@
     expect(availability.opensInMs(well, until + 20)).equal(0);
   });
 
-  it("is not taken for well by an answer to a request that was sent before its pause was over", () => {
+  it("does not end a pause by an answer to a request that was sent before the pause was over", () => {
     const known = after(answer(10, pausing(1000)));
     expect(availability.observe(known, answer(1035, {}))).equal(known);
   });
 
-  it("is never open before the end of any pause that it asked for", () => {
+  it("is never open before the end of any pause that the worker asked for", () => {
     const heard = fc.record({ at: fc.nat(5000), ms: fc.option(fc.nat(3000), { nil: undefined }) });
     fc.assert(
       fc.property(fc.array(heard, { minLength: 1, maxLength: 8 }), fc.nat(9000), (all, now) => {
@@ -84,7 +84,7 @@
   });
 });
 
-describe("what hosts tell each other of a worker", () => {
+describe("the updates that hosts send each other about a worker", () => {
   const news = fc.record({
     limit: fc.option(
       fc.record({ perS: fc.constantFrom(1, 2), version: fc.integer({ min: 1, max: 3 }) }),
@@ -95,7 +95,7 @@
     leaving: fc.boolean(),
   });
 
-  it("is the same at all that have heard the same, in whatever order and however often", () => {
+  it("lead to the same state in whatever order and however often they arrive", () => {
     fc.assert(
       fc.property(fc.array(news, { minLength: 1, maxLength: 6 }), (all) => {
         const heard = (list: readonly availability.News[]): unknown => {
@@ -108,7 +108,7 @@
     );
   });
 
-  it("is told on until there is nothing that one does not know", () => {
+  it("are not sent again to a host that knows the whole state", () => {
     fc.assert(
       fc.property(news, news, (a, b) => {
         const known = availability.learn(availability.learn(availability.UNKNOWN, a, 1), b, 2);
@@ -121,8 +121,8 @@
   });
 });
 
-describe("the headers in which workers speak of themselves", () => {
-  it("say that a worker leaves, with and without the platform's prefix", () => {
+describe("the headers by which workers announce their state", () => {
+  it("announce that a worker is leaving, with and without the platform's prefix", () => {
     for (const name of ["server-leaving", "x-sumacfield-server-leaving"]) {
       const { leaving } = wire.PROTOCOL.notice(200, { [name]: "1" });
       expect(leaving).deep.equal({ kind: "said", value: true });
@@ -133,7 +133,7 @@
     );
   });
 
-  it("ask for a pause in seconds, only with a 503", () => {
+  it("ask for a pause in seconds, only with status 503", () => {
     const { retryAfterMs } = wire.PROTOCOL.notice(503, { "retry-after": "1.5" });
     expect(retryAfterMs).deep.equal({ kind: "said", value: 1500 });
     for (const status of [200, 429, 500]) {
@@ -142,7 +142,7 @@
     }
   });
 
-  it("ask for nothing where they cannot be read", () => {
+  it("ask for no pause if they cannot be parsed", () => {
     for (const text of ["", "-1", "soon", "1e3", "Thu, 03 Dec 2026 12:00:00 GMT"]) {
       const { retryAfterMs } = wire.PROTOCOL.notice(503, { "retry-after": text });
       expect(retryAfterMs).deep.equal({ kind: "unreadable", text });
--- a/test/serving/cap-link.test.ts
+++ b/test/serving/cap-link.test.ts
@@ -5,14 +5,14 @@
 
 const { expect } = chai;
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Cleanup functions of the current test, run even when it fails. */
+const cleanups: (() => void)[] = [];
 
-/** A connection to an endpoint daemon that answers as the test says. */
+/** A connection to an endpoint daemon that answers as the test tells it to. */
 async function connected() {
   const daemon = await telling.open(telling.state("i1"), telling.holdings());
   const { made } = links.open(daemon.address, [{ kind: "attach", hosts: 1, totals: [] }]);
-  ends.push(() => {
+  cleanups.push(() => {
     made.close();
     daemon.close();
   });
@@ -20,18 +20,18 @@
   return { daemon, made };
 }
 
-describe("a connection to the place of a cap", () => {
+describe("a connection to the owner of a cap", () => {
   afterEach(() => {
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
-  it("says which caps are kept there before anything else", async () => {
+  it("attaches its caps before anything else is sent", async () => {
     const { daemon } = await connected();
     await engines.until(() => daemon.heard.length >= 2);
     expect(daemon.heard).deep.equal(["hello", "attach"]);
   });
 
-  it("brings each answer to its question", async () => {
+  it("matches each reply to its draw", async () => {
     const { daemon, made } = await connected();
     const first = made.draw("news", { wants: [10], patienceMs: 0 });
     const second = made.draw("news", { wants: [20], patienceMs: 0 });
@@ -44,7 +44,7 @@
     expect(await second).deep.include({ delaysMs: [], waitMs: 70 });
   });
 
-  it("answers nothing where the place is silent, and does not take it for one that knows", async () => {
+  it("resolves a draw without a reply if the owner is silent, which may still count this host", async () => {
     const { made } = await connected();
     expect(await made.draw("news", { wants: [10], patienceMs: 0 })).equal(undefined);
     expect(made.isForgotten).equal(false);
@@ -52,15 +52,16 @@
   });
 
   /*
-   * What goes wrong: a link is cut one way, so that a place says how its engine is and hears nothing. A question whose
-   * place is not silent was waited for until the link was whole again: a caller had its 429 after 2,255 of 1,539 ms.
+   * A connection is cut in one direction, so that an owner reports its engine's state and receives
+   * nothing. A draw is then waited for until the connection is whole again, unless it has a timeout
+   * of its own: a caller got its 429 after 2,255 ms instead of 1,539 ms.
    */
-  it("answers nothing where the place goes on talking and does not answer", async () => {
+  it("resolves a draw without a reply if the owner sends other messages but does not reply", async () => {
     const { daemon, made } = await connected();
     const talking = setInterval(() => {
       daemon.tell(telling.state("i1"));
     }, 50);
-    ends.push(() => {
+    cleanups.push(() => {
       clearInterval(talking);
     });
     const askedAt = performance.now();
@@ -68,7 +69,7 @@
     expect(performance.now() - askedAt).below(1000);
   });
 
-  it("answers nothing where the place ends, which then counts this host no more", async () => {
+  it("resolves a draw without a reply if the owner ends, which then no longer counts this host", async () => {
     const { daemon, made } = await connected();
     const asked = made.draw("news", { wants: [10], patienceMs: 0 });
     await engines.until(() => daemon.heard.includes("draw"));
--- a/test/serving/caps.test.ts
+++ b/test/serving/caps.test.ts
@@ -5,7 +5,7 @@
 const { expect } = chai;
 
 const SEEDS = 8;
-/** Seeds of a load of many small requests, which takes long to play. */
+/** Number of seeds for a load of many small requests, which takes long to simulate. */
 const FEW_SEEDS = 2;
 
 async function played(way: fleet.Way, load: play.Load, hosts: number): Promise<play.Outcome[]> {
@@ -27,23 +27,24 @@
     });
   }
 
-  it("refuses nothing of a team that asks for its usual, at all hosts or at one", async () => {
+  it("refuses nothing of a team within its usual load, at all hosts or at one", async () => {
     for (const load of ["even", "one_host"] as const) {
       for (const o of await played("places", load, 29)) expect(o.refused).equal(0);
     }
   });
 
-  it("lets a team have all of its cap while it asks for more, also when its place is lost", async () => {
+  it("lets a team use its whole cap while it asks for more, even when its owner is lost", async () => {
     for (const load of ["hot", "hot_place_lost", "hot_restarts"] as const) {
       for (const o of await played("places", load, 29)) expect(o.used).least(0.9);
     }
   });
 
   /*
-   * Equal shares, at 29 hosts: 20.8 % of the requests of a team that asks for its usual were refused, 88.3 % where all
-   * came to one host, and 100 % of those of a team whose share is smaller than a request (3 seeds).
+   * With equal shares at 29 hosts, 20.8 % of the requests of a team within its usual load were
+   * refused, 88.3 % if all came to one host, and 100 % for a team whose share is smaller than one
+   * request (3 seeds).
    */
-  it("is shared better by a place for each team than by equal shares", async () => {
+  it("is shared better by one owner per team than by equal shares", async () => {
     for (const load of ["even", "one_host", "small"] as const) {
       const refused = async (way: fleet.Way): Promise<number> => {
         const all = await played(way, load, 29);
--- a/test/serving/host-count.test.ts
+++ b/test/serving/host-count.test.ts
@@ -7,12 +7,12 @@
 
 const { expect } = chai;
 
-/** Entry daemons of the site, and those left once most are lost. */
+/** Number of entry daemons of the site, and of those left once most are lost. */
 const MANY = 29;
 const FEW = 3;
 
 describe("the number of hosts that share a total", () => {
-  it("is not known to be small while no endpoint daemon has told it, nor once none is reached", async () => {
+  it("is unknown until an endpoint daemon reports it, and does not drop when hosts or that daemon are lost", async () => {
     const counting = (entries: number) => ({ ...telling.state("e0"), entries });
     const daemon = await telling.open(counting(MANY), telling.holdings());
     const e = fixtures.endpoint("e0", "127.0.0.1:1");
--- a/test/serving/identity.test.ts
+++ b/test/serving/identity.test.ts
@@ -7,7 +7,7 @@
 const META = fixtures.request().meta;
 const TARGET = { model: "m", adapter: "a" };
 
-/** Changes of a request that make it another one. */
+/** Changes that make a request a different one. */
 const OTHERS = [
   { method: "PUT" },
   { path: "/c/y" },
@@ -20,7 +20,7 @@
 ];
 
 describe("a request's identity", () => {
-  it("is the same for each attempt of a caller, at whatever time and event it comes again", () => {
+  it("is the same for each attempt of a caller, whatever its time left and resume event", () => {
     const first = identity.of(fixtures.request());
     const meta = { ...META, id: "r2", waitMs: 1, resumeAfter: "7" };
     const headers = { "test-id": "r2", "user-agent": "other" };
@@ -33,7 +33,7 @@
     expect(new Set([...all, identity.of(fixtures.request())]).size).equal(OTHERS.length + 1);
   });
 
-  it("can't be made the same by moving letters from one part to the next", () => {
+  it("differs when characters move from one part to the next", () => {
     const [a, b] = [
       fixtures.request({ path: "/c/x", body: Buffer.from("1body") }),
       fixtures.request({ path: "/c/x1", body: Buffer.from("body") }),
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -11,10 +11,13 @@
 
 const { expect } = chai;
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Cleanup functions of the current test, run even when it fails. */
+const cleanups: (() => void)[] = [];
 
-/** A plain worker that says that it leaves while a test wants it to, and counts what arrives. */
+/**
+ * A plain worker that announces that it is leaving while a test wants it to, and counts the
+ * requests it receives.
+ */
 async function worker() {
   const seen = { leaving: false, arrivals: 0 };
   const made = await fixtures.worker((req, res) => {
@@ -23,17 +26,17 @@
     res.writeHead(200, { ...fixtures.good(String(req.headers["test-id"])), ...said });
     res.end("whole");
   });
-  ends.push(made.close);
+  cleanups.push(made.close);
   return { seen, address: made.address };
 }
 
-/** A dispatcher over plain workers with the ids given. */
+/** A dispatcher over the plain workers given. */
 function open(list: readonly catalog.Endpoint[]) {
   const config: catalog.Step = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
   let at = catalog.steps(catalog.EMPTY, [config, ...entries]).at;
   const made = dispatching.open(() => at);
-  ends.push(made.close);
+  cleanups.push(made.close);
   let count = 0;
   const serve = async (): Promise<readonly string[]> => {
     const id = `r${count++}`;
@@ -61,14 +64,14 @@
   afterEach(() => {
     waitingStream.endAll();
     engines.endAll();
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
   /*
-   * What users saw: a request was sent to an engine that had said that it leaves. A request waits for a seat;
-   * the engine says that it leaves, and its endpoint daemon, which goes with it, falls silent. A request is
-   * sent without a seat to an engine that held its adapter when its daemon was last heard, and there alone
-   * nobody asked whether the engine leaves meanwhile. Evidence: this test, in which the engine got it.
+   * A request was sent to an engine that had announced that it is leaving: the request waits for a
+   * seat; the engine announces that it is leaving, and its endpoint daemon, which ends with it,
+   * falls silent. A request is sent without a seat to an engine that held its adapter when its
+   * daemon was last heard; that path alone did not check whether the engine is leaving.
    */
   it("gets no request that waited for a seat while its daemon fell silent", async () => {
     const waits = await waitingStream.begin({ route: { targetMs: 1000, timeoutMs: 1500 } });
@@ -90,7 +93,7 @@
     expect(a.seen.arrivals).equal(1);
   });
 
-  it("is used at once when it has started anew under its name", async () => {
+  it("is used at once when it has restarted under the same name", async () => {
     const a = await worker();
     const first = fixtures.endpoint(incarnation.idOf("w1", 1), a.address);
     const made = open([first]);
@@ -102,7 +105,7 @@
     expect(await made.serve()).deep.equal(["answer 200"]);
   });
 
-  it("gets nothing once another host has told of it, though it is not registered yet", async () => {
+  it("gets nothing once another host has reported that it leaves, even before it is registered", async () => {
     const [a, b] = [await worker(), await worker()];
     const made = open([fixtures.endpoint("w2", b.address)]);
     made.notices.learn(leaving("w1"), "10.0.0.9:1");
@@ -120,14 +123,14 @@
     expect(await waits.over()).include({ runs: 0 });
   });
 
-  it("ends what it runs in peace", async () => {
+  it("finishes the requests that it is running", async () => {
     const slow = await fixtures.worker((req, res) => {
       setTimeout(() => {
         res.writeHead(200, fixtures.good(String(req.headers["test-id"])));
         res.end("whole");
       }, 200);
     });
-    ends.push(slow.close);
+    cleanups.push(slow.close);
     const made = open([fixtures.endpoint("w1", slow.address)]);
     const served = made.serve();
     await timers.setTimeout(50);
@@ -154,7 +157,7 @@
     expect(s.told).deep.equal([leaving("i1")]);
   });
 
-  it("hears so from entry daemons as well", async () => {
+  it("learns so from entry daemons as well", async () => {
     const s = await engines.site("i1", 1);
     s.link.send(leaving("i1"));
     await engines.until(() => s.notices.isLeaving("i1"));
--- a/test/serving/limited.test.ts
+++ b/test/serving/limited.test.ts
@@ -12,10 +12,12 @@
 
 const { expect } = chai;
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Cleanup functions of the current test, run even when it fails. */
+const cleanups: (() => void)[] = [];
 
-/** A plain worker that names a limit, as text, and counts what arrives. */
+/**
+ * A plain worker that announces a limit (the header's text) and counts the requests it receives.
+ */
 async function limited(id: string, limit: string | undefined) {
   const seen = { limit, arrivals: 0, down: false };
   const worker = await fixtures.worker((req, res) => {
@@ -24,7 +26,7 @@
     res.writeHead(200, { ...fixtures.good(String(req.headers["test-id"])), ...said });
     res.end("whole");
   });
-  ends.push(worker.close);
+  cleanups.push(worker.close);
   return { seen, endpoint: fixtures.endpoint(id, worker.address) };
 }
 
@@ -32,7 +34,7 @@
   const config: catalog.Step = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
   const made = dispatching.open(catalog.steps(catalog.EMPTY, [config, ...entries]).at);
-  ends.push(made.close);
+  cleanups.push(made.close);
   return made;
 }
 
@@ -44,34 +46,34 @@
 
 let count = 0;
 
-/** Serves one request; how it ended. */
+/** Serves one request and returns how it ended. */
 async function serve(made: ReturnType<typeof open>): Promise<End> {
   const id = `r${count++}`;
   const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
   const sentAt = performance.now();
   let end: End | undefined;
-  const over = (status: number, comeBackMs?: number): void => {
+  const finish = (status: number, comeBackMs?: number): void => {
     end = { status, comeBackMs, tookMs: performance.now() - sentAt };
   };
   const outlet: progress.Outlet = {
     ...dispatching.recorded().outlet,
     answer: (status) => {
-      over(status);
+      finish(status);
     },
     refuse: (status, _why, comeBackMs) => {
-      over(status, comeBackMs);
+      finish(status, comeBackMs);
     },
   };
   await made.dispatcher.serve(fixtures.request({ meta, headers: { "test-id": id } }), outlet);
   return end ?? { status: 0, comeBackMs: undefined, tookMs: 0 };
 }
 
-describe("requests before workers that name limits", () => {
+describe("requests to workers that announce limits", () => {
   afterEach(() => {
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
-  it("go to another worker at once when the limit is used up", async () => {
+  it("go to another worker at once when the limit is exhausted", async () => {
     const [a, b] = [await limited("w1", "1"), await limited("w2", undefined)];
     const made = open(a.endpoint, b.endpoint);
     while (made.notices.size === 0) await serve(made);
@@ -83,7 +85,7 @@
     expect(a.seen.arrivals - before).most(2);
   });
 
-  it("are refused at once where all are at theirs, with the time until they can be served", async () => {
+  it("are refused at once if all workers' limits are exhausted, with the time until they can be served", async () => {
     const a = await limited("w1", "2");
     const made = open(a.endpoint);
     expect((await serve(made)).status).equal(200);
@@ -97,7 +99,7 @@
     expect((await serve(made)).status).equal(200);
   });
 
-  it("wait for their turn where it comes soon, and are served then", async () => {
+  it("wait for their turn if it comes soon, and are then served", async () => {
     const a = await limited("w1", "5");
     const made = open(a.endpoint);
     expect((await serve(made)).status).equal(200);
@@ -107,7 +109,7 @@
     expect(end.tookMs).within(50, admission.TURN_MS);
   });
 
-  it("fill the worker again once it names no limit", async () => {
+  it("fill the worker again once it announces no limit", async () => {
     const a = await limited("w1", "4");
     const made = open(a.endpoint);
     await serve(made);
@@ -119,14 +121,14 @@
     expect(all.map((e) => e.status)).deep.equal(new Array<number>(20).fill(200));
   });
 
-  it("are not held up by a limit that cannot be read", async () => {
+  it("are not held back by a limit that cannot be parsed", async () => {
     const a = await limited("w1", "some");
     const made = open(a.endpoint);
     const all = await Promise.all(Array.from({ length: 20 }, () => serve(made)));
     expect(all.every((e) => e.status === 200)).equal(true);
   });
 
-  it("go on reaching a worker whose limit is 0, now and then, so that it is known when it is over", async () => {
+  it("still reach a worker whose limit is 0 now and then, so that its withdrawal is noticed", async () => {
     const a = await limited("w1", "0");
     const made = open(a.endpoint);
     await serve(made);
@@ -135,7 +137,7 @@
   });
 });
 
-describe("the choice of an engine before limits", () => {
+describe("the choice of an engine under limits", () => {
   const need: choice.Need = {
     model: "m",
     key: "m/a",
@@ -155,21 +157,21 @@
     expect(rest).length(0);
   });
 
-  it("weighs a turn that comes soon as a wait", () => {
+  it("counts a turn that comes soon as waiting time", () => {
     const soon = fixtures.view("1", { holdings: holding, limitedMs: 100 });
     const [best] = choice.engines([soon, fixtures.view("2")], need);
     expect(best?.view.endpoint.id).equal("1");
     expect(best && best.firstMs - best.ownMs).equal(100);
   });
 
-  it("does not take a request away from an engine where it has its turn", () => {
+  it("keeps a request at the engine where it waits for its turn", () => {
     const full = fixtures.view("1", { holdings: holding, limitedMs: 5000 });
     const [best] = choice.engines([full, fixtures.view("2")], { ...need, waitsAt: "1" });
     expect(best?.view.endpoint.id).equal("1");
   });
 });
 
-describe("the header that names a limit", () => {
+describe("the header that announces a limit", () => {
   const read = (headers: Readonly<Record<string, string>>): notices.Said<number> =>
     wire.PROTOCOL.notice(200, headers).limit;
 
@@ -187,7 +189,7 @@
     expect(read({})).deep.equal({ kind: "unsaid" });
   });
 
-  it("names nothing where it cannot be read", () => {
+  it("is reported as unreadable if it cannot be parsed", () => {
     for (const text of ["", "-1", "1e3", "some", "1,4", "NaN", "Infinity", "1.4 2"]) {
       expect(read({ "server-limit": text })).deep.equal({
         kind: "unreadable",
--- a/test/serving/notice-relay.test.ts
+++ b/test/serving/notice-relay.test.ts
@@ -6,7 +6,7 @@
 
 const { expect } = chai;
 
-/** An entry daemon that writes down what it is told. */
+/** An entry daemon that records the messages it is sent. */
 function entry(host: string) {
   const told: messages.Notice[] = [];
   const client: announcer.Client = {
@@ -34,8 +34,8 @@
   return { relay, a, b };
 }
 
-describe("news of workers' limits", () => {
-  it("goes to all others once, and to those that come later", () => {
+describe("a relay of worker notices", () => {
+  it("sends news to all other daemons once, and later to those that connect", () => {
     const { relay, a, b } = open();
     relay.hear(a.client, said(1, 1.4));
     relay.hear(b.client, said(1, 1.4));
@@ -45,7 +45,7 @@
     expect(late.told).deep.equal([said(1, 1.4)]);
   });
 
-  it("tells who knows an older limit of the newer one", () => {
+  it("replies with the newer limit to a daemon that reports an older one", () => {
     const { relay, a, b } = open();
     relay.hear(a.client, said(3));
     relay.hear(b.client, said(1, 2));
@@ -53,7 +53,7 @@
     expect(a.told).deep.equal([]);
   });
 
-  it("tells what one host knows of a worker's limit and another of its leaving together", () => {
+  it("merges a worker's limit from one host and its leaving from another", () => {
     const { relay, a, b } = open();
     relay.hear(a.client, said(1, 1.4));
     relay.hear(b.client, { kind: "notice", worker: "w1", leaving: true });
@@ -64,14 +64,14 @@
     expect(b.told.at(-1)).deep.equal({ ...said(2), leaving: true });
   });
 
-  it("goes to nobody who has left", () => {
+  it("sends nothing to a disconnected daemon", () => {
     const { relay, a, b } = open();
     relay.leave(b.client);
     relay.hear(a.client, said(1, 1));
     expect(b.told).deep.equal([]);
   });
 
-  it("is kept of a bounded number of workers, of which those that changed last stay", () => {
+  it("keeps a bounded number of workers, those that changed last", () => {
     const { relay, a } = open();
     for (let n = 0; n < 5000; n++) {
       relay.hear(a.client, { ...said(1, 1), worker: `w${n}` });
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -11,10 +11,12 @@
 
 const { expect } = chai;
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Cleanup functions of the current test, run even when it fails. */
+const cleanups: (() => void)[] = [];
 
-/** A plain worker that asks for pauses while a test wants it to, and writes down when requests arrive. */
+/**
+ * A plain worker that asks for pauses while a test wants it to, and records when requests arrive.
+ */
 async function worker(id: string, pauseMs: number | undefined) {
   const seen: { pauseMs: number | undefined; arrivals: number[] } = { pauseMs, arrivals: [] };
   const made = await fixtures.worker((req, res) => {
@@ -29,7 +31,7 @@
     res.writeHead(503, { ...name, ...said });
     res.end();
   });
-  ends.push(made.close);
+  cleanups.push(made.close);
   return { seen, endpoint: fixtures.endpoint(id, made.address) };
 }
 
@@ -38,7 +40,7 @@
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
   const at = catalog.steps(catalog.EMPTY, [config, ...entries]).at;
   const made = dispatching.open(at, undefined, clk);
-  ends.push(made.close);
+  cleanups.push(made.close);
   return made;
 }
 
@@ -55,7 +57,7 @@
   const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
   const sentAt = performance.now();
   let end: End = { status: 0, comeBackMs: undefined, tookMs: 0 };
-  const over = (status: number, comeBackMs?: number): void => {
+  const finish = (status: number, comeBackMs?: number): void => {
     end = { status, comeBackMs, tookMs: performance.now() - sentAt };
   };
   const now = clk.mono();
@@ -68,23 +70,23 @@
   await made.dispatcher.serve(a, {
     ...dispatching.recorded().outlet,
     answer: (status) => {
-      over(status);
+      finish(status);
     },
     refuse: (status, _why, comeBackMs) => {
-      over(status, comeBackMs);
+      finish(status, comeBackMs);
     },
   });
   return end;
 }
 
-describe("requests before a worker that asks for a pause", () => {
+describe("requests to a worker that asks for a pause", () => {
   afterEach(() => {
     waitingStream.endAll();
     engines.endAll();
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
-  it("go to another worker until it is over, and to it again where that one asks for one", async () => {
+  it("go to another worker until it is over, and back when that one asks for a pause", async () => {
     const [a, b] = [await worker("w1", 600), await worker("w2", undefined)];
     const made = open([a.endpoint, b.endpoint]);
     while (a.seen.arrivals.length === 0) expect((await serve(made)).status).equal(200);
@@ -112,7 +114,7 @@
     expect([a.seen.arrivals.length, b.seen.arrivals.length]).deep.equal([1, 1]);
   });
 
-  it("wait for the end of one that is soon over", async () => {
+  it("wait for the end of one that is over soon", async () => {
     const a = await worker("w1", 100);
     const made = open([a.endpoint]);
     expect((await serve(made)).status).equal(503);
@@ -150,7 +152,7 @@
     expect(a.seen.arrivals).length(1);
   });
 
-  it("leave it at once while they wait for a seat there", async () => {
+  it("stop waiting for a seat there at once", async () => {
     const waits = await waitingStream.begin({ route: { targetMs: 1000, timeoutMs: 1500 } });
     const began = performance.now();
     waits.notices.heard(waits.endpoint, {
@@ -166,7 +168,7 @@
 });
 
 describe("the time to come back", () => {
-  it("is told rounded up, so that nobody comes back too soon", () => {
+  it("is rounded up, so that no caller retries too soon", () => {
     expect(wire.PROTOCOL.comeBack(1234.5)).deep.equal({ "retry-after": "1.24" });
     expect(wire.PROTOCOL.comeBack(800)).deep.equal({ "retry-after": "0.80" });
   });
--- a/test/serving/worker-limit.test.ts
+++ b/test/serving/worker-limit.test.ts
@@ -5,7 +5,10 @@
 
 const SEEDS = 3;
 const LIMITS = [1, 1.4, 20];
-/** Cases in which hosts that have not heard of the limit yet send there: the rule does not count those. */
+/**
+ * Cases in which hosts that have not received the limit yet send to the worker; the rule does not
+ * count their requests.
+ */
 const UNAWARE: ReadonlySet<play.Case> = new Set([
   "all hosts are killed again and again",
   "all hosts are stopped and serve on",
