--- a/test/platform/asking.ts
+++ b/test/platform/asking.ts
@@ -1,47 +1,47 @@
 /**
- * Requests of a caller to a site of daemons as processes.
+ * Sends requests as a caller to a site of daemons that run as processes.
  * @module
  */
 import * as undici from "undici";
 import type * as notices from "../../bench/platform/notices.js";
 import type * as soak from "../../bench/soak/site.js";
 
-/** Milliseconds that a caller waits. */
+/** Deadline of the requests, in milliseconds. */
 const WAIT_MS = 3000;
 const MS_PER_S = 1000;
 
 export interface Wish {
   readonly id: string;
-  /** Number of the entry host; those there are go round. */
+  /** Number of the entry host, modulo the number of entry hosts. */
   readonly entry: number;
-  /** Prefix of the route. */
+  /** Path prefix of the route. */
   readonly at: string;
   readonly body: string;
-  /** Adapter, on routes to engines. */
+  /** Adapter; used on routes to engines only. */
   readonly adapter: string;
 }
 
-/** An answer as its caller saw it. */
+/** An answer as its caller received it. */
 export interface Answer {
   readonly id: string;
   readonly entry: string;
   readonly status: number;
-  /** The worker that signed it; empty for an answer of the entry host's own. */
+  /** The worker that signed it; empty for an answer that the entry host made itself. */
   readonly by: string;
-  /** Whether it says that its worker leaves. */
+  /** Whether it announces that its worker is leaving. */
   readonly leaving: boolean;
-  /** Milliseconds after which the caller is told to come back. */
+  /** Milliseconds after which the caller is told to retry. */
   readonly retryAfterMs: number | undefined;
   readonly sentAt: number;
   readonly endedAt: number;
 }
 
-/** Sends one request; the status of its answer. */
+/** Sends one request; returns the status of its answer. */
 export async function ask(site: soak.Site, w: Wish): Promise<number> {
   return (await answer(site, w)).status;
 }
 
-/** Sends one request. */
+/** Sends one request; returns its answer. */
 export async function answer(site: soak.Site, w: Wish): Promise<Answer> {
   const entry = site.entries[w.entry % site.entries.length];
   const isStream = w.at === "/s/" || w.at === "/o/";
@@ -73,12 +73,12 @@
   };
 }
 
-/** By which entry host each of some requests came, and when. */
+/** The entry host and the time of each request, by request id. */
 export function sent(answers: readonly Answer[]): ReadonlyMap<string, notices.Sent> {
   return new Map(answers.map((a) => [a.id, { entry: a.entry, at: a.sentAt }]));
 }
 
-/** Which entry hosts passed on that a worker leaves. */
+/** The answers by which entry hosts passed on that a worker is leaving. */
 export function told(answers: readonly Answer[]): readonly notices.Told[] {
   return answers
     .filter((a) => a.leaving)
--- a/test/platform/crashing.test.ts
+++ b/test/platform/crashing.test.ts
@@ -11,26 +11,24 @@
 const { expect } = chai;
 
 const MAIN = path.join(import.meta.dirname, "../../deploy/launch.cjs");
-/** Workers that may end under one request; three are enough to know. */
-const ENDS = 3;
-/** Attempts of the caller, and milliseconds from the end of one to the next. */
+/** Maximum number of workers that may crash under one request; three are enough for quarantine. */
+const MAX_CRASHES = 3;
+/** Number of attempts of the caller, and milliseconds from the end of one to the next. */
 const ATTEMPTS = 10;
 const PAUSE_MS = 150;
 
 /*
- * What users saw: one request ended the worker that ran it, came again by other connections at other entry hosts,
- * and was sent on each time; twenty-two workers ended under it, with all else that ran there.
- *
- * Order of events: an attempt is sent to a worker, which ends within a tenth of a second; its entry host sees a
- * closed connection, sends what may be repeated on to the next worker, which ends as well, and answers 502. The
- * next attempt has another id and may come to another host. Each begins anew.
- *
- * Cause: what a request did to its workers was known only within one attempt on one host. Evidence: over fifteen
- * ends, the same adapter was under way under each and no other under more than five; the ends were spread over all
- * entry hosts, and nine of them were first sends. Ten attempts of each kind below ended 12, 4 and 4 workers, which were all
- * that there were in time to end.
+ * Guards against a request that crashes each worker that runs it and comes again by other
+ * connections at other entry hosts: 22 workers crashed under one, with everything else that ran
+ * there. Each attempt is sent to a worker, which crashes within a tenth of a second. The entry host
+ * sees a closed connection, resends a repeatable request to the next worker, which crashes as well,
+ * and answers 502. The next attempt has another id and may come to another host, so crashes
+ * remembered only within one attempt on one host don't stop it. Over 15 crashes, the same adapter
+ * was in use under each and no other under more than five; the crashes were spread over all entry
+ * hosts, and nine of them were first sends. Without the quarantine, ten attempts of each kind below
+ * crashed 12, 4 and 4 workers, which were all that came back in time to crash.
  */
-describe("a request that ends its workers", () => {
+describe("a request that crashes its workers", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "sumacfield-"));
   const faults: string[] = [];
   const size = { entries: 2, engines: 6, plain: 4 };
@@ -39,7 +37,7 @@
   const ask = (id: string, entry: number, at: string, body: string): Promise<number> =>
     asking.ask(site, { id, entry, at, body, adapter: "a1" });
 
-  /** Sends one request again and again, to one entry host after the other; the answers' statuses. */
+  /** Sends one request repeatedly, to the entry hosts in turn; returns the answers' statuses. */
   async function repeat(at: string, attempts: number): Promise<readonly number[]> {
     const statuses: number[] = [];
     for (let n = 0; n < attempts; n++) {
@@ -49,7 +47,7 @@
     return statuses;
   }
 
-  /** An ordinary request is served by both entry hosts. */
+  /** Waits until an ordinary request is served by both entry hosts. */
   async function untilServed(at: string): Promise<void> {
     for (let n = 0, served = 0; served < 4; n++) {
       if (n > 200) throw new Error("it was not served");
@@ -70,23 +68,23 @@
   });
 
   for (const [kind, at] of [
-    ["a stream that may go on elsewhere", "/s/"],
+    ["a stream that may resume elsewhere", "/s/"],
     ["a call that may be repeated", "/c/"],
     ["a call that may not", "/n/"],
   ] as const) {
-    it(`is given to no worker after the third: ${kind}`, async () => {
+    it(`is sent to no worker after the third crash: ${kind}`, async () => {
       const before = site.kept.crashes.length;
       await repeat(at, ATTEMPTS);
-      // Its workers are back, and serve others.
+      // Its workers are back, and serve other requests.
       await untilServed(at);
       await timers.setTimeout(soak.BACK_MS);
       expect(await repeat(at, 2)).deep.equal([503, 503]);
-      expect(site.kept.crashes.length - before).within(1, ENDS);
+      expect(site.kept.crashes.length - before).within(1, MAX_CRASHES);
       expect(faults).deep.equal([]);
     }).timeout(30_000);
   }
 
-  it("is given to none after all daemons have started anew, until an operator releases it", async () => {
+  it("is sent to none after all daemons have restarted, until an operator releases it", async () => {
     const before = site.kept.crashes.length;
     const kept = (): readonly string[] =>
       [...site.store.items.keys()].filter((k) => k.startsWith(quarantine.PREFIX));
--- a/test/platform/notices.test.ts
+++ b/test/platform/notices.test.ts
@@ -11,16 +11,16 @@
 const { expect } = chai;
 
 const MAIN = path.join(import.meta.dirname, "../../deploy/launch.cjs");
-/** Milliseconds between two requests to each service. */
+/** Milliseconds between requests to each service. */
 const EVERY_MS = 25;
 const ENTRIES = 3;
-/** Adapters, few enough that each engine may hold them all. */
+/** Number of adapters; each engine can hold them all. */
 const ADAPTERS = 3;
-/** Milliseconds within which a request is answered that can't be served. */
+/** Milliseconds within which a request that can't be served is answered. */
 const AT_ONCE_MS = 400;
 
-/** Entry and endpoint daemons as processes, before two engines and two plain workers. */
-describe("a worker that speaks of itself", () => {
+/** Entry and endpoint daemons as processes, with two engines and two plain workers. */
+describe("a worker that announces its state", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "sumacfield-"));
   const faults: string[] = [];
   const size = { entries: ENTRIES, engines: 2, plain: 2 };
@@ -37,12 +37,12 @@
     }
   }
 
-  /** An engine and a plain worker. */
+  /** One engine and one plain worker. */
   function two(): readonly soak.Place[] {
     return [0, size.engines].flatMap((i) => site.places[i] ?? []);
   }
 
-  /** Requests to both services for `ms`; `during` runs beside them. */
+  /** Sends requests to both services for `ms`; `during` runs at the same time. */
   async function load(ms: number, during?: () => Promise<void>): Promise<readonly asking.Answer[]> {
     const run = runs++;
     const answers: Promise<asking.Answer>[] = [];
@@ -81,7 +81,7 @@
     fs.rmSync(folder, { recursive: true });
   });
 
-  it("gets nothing more once it has said that it leaves, though the store is out", async () => {
+  it("gets nothing more once it has announced that it is leaving, even if the store is down", async () => {
     site.store.faults.mode = "busy";
     for (const p of two()) p.worker.leaving = true;
     const answers = await load(6000);
@@ -90,7 +90,7 @@
     expect(faults).deep.equal([]);
   }).timeout(40_000);
 
-  it("gets nothing more though it says only for a moment that it leaves, and daemons are killed", async () => {
+  it("gets nothing more even if it announces only briefly that it is leaving, and daemons are killed", async () => {
     site.store.faults.mode = "busy";
     for (const p of two()) p.worker.leaving = true;
     const answers = await load(6000, async () => {
@@ -120,7 +120,7 @@
     expect(faults).deep.equal([]);
   }).timeout(40_000);
 
-  it("is passed over while it asks for a pause, and callers are served by others", async () => {
+  it("is skipped while it asks for a pause, and callers are served by others", async () => {
     for (const { worker } of two()) {
       worker.mood = "shedding";
       worker.pauseS = 3;
@@ -131,7 +131,7 @@
     expect(faults).deep.equal([]);
   }).timeout(40_000);
 
-  it("is left alone by all where all ask for a pause, and callers are told at once until when", async () => {
+  it("gets nothing if all workers ask for a pause, and callers are told at once when to retry", async () => {
     for (const { worker } of site.places) {
       worker.mood = "shedding";
       worker.shedPart = 1;
--- a/test/platform/quarantines.test.ts
+++ b/test/platform/quarantines.test.ts
@@ -9,7 +9,7 @@
 const PROGRAM = path.join(import.meta.dirname, "../../platform/quarantine.js");
 const IDENTITY = "abcdefghijklmnopqrst_-";
 
-describe("the command for requests in quarantine", () => {
+describe("the quarantine command", () => {
   const store = new stores.Store();
 
   function run(...args: readonly string[]) {
@@ -36,7 +36,7 @@
     expect(store.items.size).equal(0);
   });
 
-  it("lists the workers that ended, and keys that hold something else", async () => {
+  it("lists the workers that crashed, and keys with other values", async () => {
     const at = new Date(0);
     store.put(quarantine.keyOf(IDENTITY), { workers: ["i-1", "i-2"], at });
     store.put(quarantine.keyOf("strange"), []);
@@ -44,7 +44,7 @@
     expect(text).include("1970-01-01T00:00:00.000Z").include("i-1 i-2").include("strange");
   });
 
-  it("refuses what it can't do, with the exit code for wrong usage", async () => {
+  it("exits with the code for wrong usage on invalid arguments", async () => {
     for (const args of [
       [],
       ["drop", IDENTITY],
@@ -56,7 +56,7 @@
     }
   });
 
-  it("says so where the store does not answer", async () => {
+  it("reports that the store does not answer", async () => {
     store.faults.mode = "busy";
     const { code, text } = await run("list");
     store.faults.mode = "well";
--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -10,21 +10,24 @@
 const { expect } = chai;
 
 const MAIN = path.join(import.meta.dirname, "../../deploy/launch.cjs");
-/** Milliseconds between two requests to each service, and for which they come. */
+/** Milliseconds between requests to each service, and the length of a load in milliseconds. */
 const EVERY_MS = 25;
-const PLAY_MS = 10_000;
+const LOAD_MS = 10_000;
 const LIMIT_PER_S = 1.4;
-/** Milliseconds for which hosts come back one after the other once a limit is withdrawn. */
-const RELEASED_MS = 3000;
-/** Part of its limit that a worker gets at least while more is asked for. */
-const MOSTLY = 0.6;
+/** Milliseconds within which all hosts send freely again once a limit is withdrawn. */
+const RELEASE_MS = 3000;
+/** Minimum part of its limit that a worker gets while more is asked for. */
+const MIN_USE = 0.6;
 const MS_PER_S = 1000;
 const ENTRIES = 3;
-/** Adapters, few enough that each engine may hold them all. */
+/** Number of adapters; each engine can hold them all. */
 const ADAPTERS = 3;
 
-/** Entry and endpoint daemons as processes, before one engine and one plain worker of which each names a limit. */
-describe("a worker that names a limit", () => {
+/**
+ * Entry and endpoint daemons as processes; in the first test one engine and one plain worker of two
+ * each announce a limit.
+ */
+describe("a worker that announces a limit", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "sumacfield-"));
   const faults: string[] = [];
   const size = { entries: ENTRIES, engines: 2, plain: 2 };
@@ -40,7 +43,7 @@
     }
   }
 
-  /** An engine and a plain worker. */
+  /** One engine and one plain worker. */
   function two(): readonly soak.Place[] {
     return [0, size.engines].flatMap((i) => site.places[i] ?? []);
   }
@@ -49,7 +52,7 @@
     for (const p of places) p.worker.limitPerS = perS;
   }
 
-  /** Requests to both services for `ms`; the answers' statuses. */
+  /** Sends requests to both services for `ms`; returns the answers' statuses. */
   async function load(id: string, ms: number): Promise<readonly number[]> {
     const statuses: Promise<number>[] = [];
     for (let at = 0, n = 0; at < ms; at += EVERY_MS, n++) {
@@ -59,7 +62,7 @@
     return Promise.all(statuses);
   }
 
-  /** How many requests each of the two got, of those after the first `from`. */
+  /** How many requests each of the two received, after the first `from` arrivals. */
   function arrived(from: number): readonly number[] {
     const since = site.kept.arrivals.slice(from);
     return two().map((p) => since.filter((a) => a.instance === p.worker.instance).length);
@@ -78,24 +81,24 @@
 
   it("gets no more requests from all hosts than it allows, and its callers are served elsewhere", async () => {
     name(LIMIT_PER_S, two());
-    const answers = await load("r", PLAY_MS);
+    const answers = await load("r", LOAD_MS);
     expect(limits.beyond(site.kept.arrivals)).deep.equal([]);
     expect(answers.filter((s) => s === 200).length / answers.length).above(0.99);
     expect(faults).deep.equal([]);
   }).timeout(40_000);
 
-  it("gets what it allows where all name one, and fills again once it names none", async () => {
+  it("gets what it allows if all announce one, and fills again once it announces none", async () => {
     name(LIMIT_PER_S, site.places);
     let from = site.kept.arrivals.length;
-    const answers = await load("used", PLAY_MS);
-    for (const n of arrived(from)) expect(n).above(MOSTLY * LIMIT_PER_S * (PLAY_MS / MS_PER_S));
+    const answers = await load("used", LOAD_MS);
+    for (const n of arrived(from)) expect(n).above(MIN_USE * LIMIT_PER_S * (LOAD_MS / MS_PER_S));
     expect([...new Set(answers)].sort()).deep.equal([200, 503]);
     name(undefined, site.places);
-    await load("withdrawn", RELEASED_MS);
+    await load("withdrawn", RELEASE_MS);
     from = site.kept.arrivals.length;
-    const free = await load("free", RELEASED_MS);
+    const free = await load("free", RELEASE_MS);
     expect(free.filter((s) => s === 200).length / free.length).above(0.99);
-    expect(arrived(from)[1]).above(3 * LIMIT_PER_S * (RELEASED_MS / MS_PER_S));
+    expect(arrived(from)[1]).above(3 * LIMIT_PER_S * (RELEASE_MS / MS_PER_S));
     expect(limits.beyond(site.kept.arrivals)).deep.equal([]);
   }).timeout(60_000);
 });
--- a/test/serving/outbreak.test.ts
+++ b/test/serving/outbreak.test.ts
@@ -3,10 +3,10 @@
 
 const { expect } = chai;
 
-/** Seeds of each case; SUMACFIELD_SEEDS asks for more by hand. */
+/** Number of seeds of each case; SUMACFIELD_SEEDS sets another number by hand. */
 const SEEDS = Number(process.env.SUMACFIELD_SEEDS ?? 8);
-/** Sends beyond the users' bound that they bear. */
-const BORNE = 3;
+/** Number of sends later than the users' bound that the users accept. */
+const MAX_LATE = 3;
 
 const CASES: readonly (Omit<outbreak.Plan, "seed" | "hosts"> & { readonly name: string })[] = [
   { name: "a calm fleet", workers: 30, fatalPerS: 3, ordinaryPerS: 60, endsPerS: 0 },
@@ -46,7 +46,7 @@
           late = Math.max(late, o.late);
         }
         expect(condemned).equal(0);
-        expect(late).most(BORNE);
+        expect(late).most(MAX_LATE);
         if (SEEDS > 100)
           process.stdout.write(`      ${hosts} hosts, ${name}: ${ended} ended at most\n`);
       }).timeout(600_000);
--- a/test/serving/outbreak.ts
+++ b/test/serving/outbreak.ts
@@ -1,7 +1,8 @@
 /**
- * Requests that end their workers, played in virtual time: entry hosts that each know what they saw and what they were
- * told, over relays that delay and lose news and a partition that holds it up; workers that end and come back; ordinary
- * requests beside them, which die with the workers and are sent again.
+ * Simulates requests that crash their workers, in virtual time. Each entry host knows what it
+ * observed and what it was told by relays, which delay and lose news; a partition delays news
+ * further. Workers crash and come back. Ordinary requests run beside the fatal one, break off when
+ * their worker crashes, and are resent.
  * @module
  */
 import * as queues from "tinyqueue";
@@ -13,46 +14,58 @@
   readonly seed: number;
   readonly hosts: number;
   readonly workers: number;
-  /** Attempts of the request that ends its workers, a second; none for an ordinary day. */
+  /** Attempts per second of the request that crashes its workers; 0 for none. */
   readonly fatalPerS: number;
   readonly ordinaryPerS: number;
-  /** Workers that end by themselves, a second. */
+  /** Workers per second that crash without that request. */
   readonly endsPerS: number;
-  /** Milliseconds at which a third of the workers end at once; undefined for never. */
+  /** Milliseconds at which a third of the workers crash at once; undefined for never. */
   readonly domainLostAt?: number;
 }
 
 export interface Outcome {
-  /** Workers that ended under the request. */
+  /** Number of workers that crashed under the fatal request. */
   readonly ended: number;
-  /** Sends of it later than the users' bound after the third end, by hosts that the partition left in touch. */
+  /**
+   * Sends of the fatal request later than the users' bound after its third crash, by hosts not cut
+   * off by the partition.
+   */
   readonly late: number;
-  /** Sends of it that were under way when the third worker ended. */
+  /** Sends of the fatal request in flight when the third worker crashed. */
   readonly underWay: number;
   readonly ordinary: number;
   readonly served: number;
-  /** Ordinary requests that some host held for the cause of an end. */
+  /** Ordinary requests that some host quarantined. */
   readonly condemned: number;
 }
 
-/** Milliseconds that are played, and for which a request that runs, or a worker that is down, lasts. */
-const PLAYED_MS = 20_000;
+/**
+ * Simulated milliseconds; then the ranges of milliseconds for an ordinary request's run, for the
+ * fatal request's run, and for a worker's downtime.
+ */
+const SIMULATED_MS = 20_000;
 const RUN_MS: readonly [number, number] = [100, 2000];
 const FATAL_MS: readonly [number, number] = [20, 150];
 const DOWN_MS: readonly [number, number] = [1000, 6000];
-/** Sends of one ordinary attempt, and attempts of its caller, at most. */
-const SENDS = 4;
-/** Milliseconds for a piece of news by one relay, part that is lost there, and relays. */
+/** Maximum number of sends of one ordinary request. */
+const MAX_SENDS = 4;
+/**
+ * Range of milliseconds for a piece of news through one relay, the part of news lost there, and the
+ * number of relays.
+ */
 const NEWS_MS: readonly [number, number] = [1, 200];
-const LOST = 0.05;
+const LOSS_RATE = 0.05;
 const RELAYS = 3;
-/** A third of the hosts hears nothing from here to there. */
-const CUT_MS: readonly [number, number] = [3000, 6000];
-/** Seconds of the past in which workers ended by themselves. */
+/** Milliseconds from and to which a third of the hosts is cut off by the partition. */
+const PARTITION_MS: readonly [number, number] = [3000, 6000];
+/** Seconds before the start in which workers crashed without the request. */
 const HISTORY_S = 20;
-/** The users' bound. */
-const CONTACT_MS = 3000;
-const PROOFS = 3;
+/**
+ * The users' bound, in milliseconds, on the time after the third crash until no host sends the
+ * request.
+ */
+const BOUND_MS = 3000;
+const MIN_CRASHES = 3;
 const FATAL = "fatal".padStart(22, "x");
 
 interface Event {
@@ -61,10 +74,10 @@
 }
 
 interface Worker {
-  life: number;
+  incarnation: number;
   up: boolean;
-  /** What runs on it: told when the worker ends. */
-  readonly on: Map<object, () => void>;
+  /** The requests running on it, with the callback to call when the worker crashes. */
+  readonly running: Map<object, () => void>;
 }
 
 interface Host {
@@ -72,13 +85,13 @@
   readonly isCut: boolean;
 }
 
-/** Plays one seed. */
+/** Simulates one seed. */
 export function play(plan: Plan): Outcome {
   const rng = generators.xoroshiro128plus(plan.seed * 7919 + plan.hosts);
-  const part = (): number => uniform.uniformFloat64(rng);
-  for (let i = 0; i < 8; i++) part();
-  const between = ([min, max]: readonly [number, number]): number => min + part() * (max - min);
-  const one = <T>(list: readonly T[]): T | undefined => list[Math.floor(part() * list.length)];
+  const random = (): number => uniform.uniformFloat64(rng);
+  for (let i = 0; i < 8; i++) random();
+  const uniformIn = ([min, max]: readonly [number, number]): number => min + random() * (max - min);
+  const pick = <T>(list: readonly T[]): T | undefined => list[Math.floor(random() * list.length)];
   const queue = new queues.default<Event>([], (a, b) => a.at - b.at);
   let now = 0;
   const after = (ms: number, run: () => void): void => {
@@ -88,9 +101,10 @@
     return { book: suspicion.EMPTY, isCut: i % 3 === 0 };
   });
   const workers = Array.from({ length: plan.workers }, (): Worker => {
-    return { life: 0, up: true, on: new Map() };
+    return { incarnation: 0, up: true, running: new Map() };
   });
-  // Where workers end by themselves, they did so before as well, and all hosts know.
+  // If workers crash without the request, they did so before the start as well, and all hosts know
+  // of it.
   for (let n = 0; n < plan.endsPerS * HISTORY_S; n++) {
     const identity = `h${n}`.padStart(22, "x");
     const past = { kind: "ended", identity, worker: `past-${n}`, underWayMs: 500 } as const;
@@ -98,101 +112,102 @@
     for (const h of hosts)
       h.book = suspicion.take(h.book, { ...past, peers: plan.workers, ageMs }, 0);
   }
-  const thirds: number[] = [];
+  const crashTimes: number[] = [];
   const condemned = new Set<string>();
   const tally = { ended: 0, late: 0, underWay: 0, ordinary: 0, served: 0 };
-  let fatalOn = 0;
+  let fatalInFlight = 0;
 
   const tell = (from: Host, news: suspicion.News): void => {
     const seenAt = now;
     from.book = suspicion.take(from.book, news, now);
     for (const h of hosts) {
       if (h === from) continue;
-      const ways = Array.from({ length: RELAYS }, () =>
-        part() < LOST ? Infinity : between(NEWS_MS),
+      const delays = Array.from({ length: RELAYS }, () =>
+        random() < LOSS_RATE ? Infinity : uniformIn(NEWS_MS),
       );
-      // What no relay brought is told when a connection is made anew.
-      let ms = Math.min(...ways, CUT_MS[1]);
-      if ((h.isCut || from.isCut) && now >= CUT_MS[0] && now < CUT_MS[1]) ms += CUT_MS[1] - now;
+      // News that all relays lost arrives when a connection is made anew.
+      let ms = Math.min(...delays, PARTITION_MS[1]);
+      if ((h.isCut || from.isCut) && now >= PARTITION_MS[0] && now < PARTITION_MS[1])
+        ms += PARTITION_MS[1] - now;
       after(ms, () => {
         h.book = suspicion.take(h.book, { ...news, ageMs: now - seenAt }, now);
       });
     }
   };
-  const end = (w: Worker): void => {
+  const crash = (w: Worker): void => {
     if (!w.up) return;
     w.up = false;
-    const on = [...w.on.values()];
-    w.on.clear();
-    w.life++;
-    for (const broke of on) broke();
-    after(between(DOWN_MS), () => {
+    const callbacks = [...w.running.values()];
+    w.running.clear();
+    w.incarnation++;
+    for (const onCrash of callbacks) onCrash();
+    after(uniformIn(DOWN_MS), () => {
       w.up = true;
     });
   };
-  /** Sends a request to a worker; `over` is told whether it ran whole. */
+  /** Sends a request to a worker; calls `onEnd` with whether it ran to its end. */
   const send = (
     h: Host,
     id: string,
     runMs: number,
     isFatal: boolean,
-    over: (whole: boolean) => void,
+    onEnd: (whole: boolean) => void,
   ): void => {
-    const w = one(workers.filter((x) => x.up));
+    const w = pick(workers.filter((x) => x.up));
     if (!w) {
-      over(false);
+      onEnd(false);
       return;
     }
-    const { life } = w;
-    const name = `${workers.indexOf(w)}#${life}`;
+    const { incarnation } = w;
+    const name = `${workers.indexOf(w)}#${incarnation}`;
     const begun = now;
     const key = {};
-    w.on.set(key, () => {
+    w.running.set(key, () => {
       const underWayMs = now - begun;
       const peers = plan.workers;
       tell(h, { kind: "ended", identity: id, worker: name, underWayMs, peers, ageMs: 0 });
-      over(false);
+      onEnd(false);
     });
     after(runMs, () => {
-      if (!w.on.has(key)) return;
+      if (!w.running.has(key)) return;
       if (isFatal) {
-        end(w);
+        crash(w);
         return;
       }
-      w.on.delete(key);
+      w.running.delete(key);
       const own = h.book.ends.get(id);
       if (own) tell(h, { kind: "ran", identity: id, workers: [...own.keys()], ageMs: 0 });
-      over(true);
+      onEnd(true);
     });
   };
-  const isCondemned = (h: Host, id: string): boolean =>
+  const isQuarantined = (h: Host, id: string): boolean =>
     suspicion.judge(h.book, id, now).kind === "quarantined";
 
-  const fatal = (): void => {
-    const h = one(hosts);
-    if (h && !isCondemned(h, FATAL)) {
-      const third = thirds[PROOFS - 1];
-      const inTouch = !h.isCut || now < CUT_MS[0] || now > CUT_MS[1] + CONTACT_MS;
-      if (third !== undefined && now > third + CONTACT_MS && inTouch) tally.late++;
-      fatalOn++;
-      send(h, FATAL, between(FATAL_MS), true, () => {
-        fatalOn--;
-        thirds.push(now);
+  const fatalArrival = (): void => {
+    const h = pick(hosts);
+    if (h && !isQuarantined(h, FATAL)) {
+      const third = crashTimes[MIN_CRASHES - 1];
+      const inTouch = !h.isCut || now < PARTITION_MS[0] || now > PARTITION_MS[1] + BOUND_MS;
+      if (third !== undefined && now > third + BOUND_MS && inTouch) tally.late++;
+      fatalInFlight++;
+      send(h, FATAL, uniformIn(FATAL_MS), true, () => {
+        fatalInFlight--;
+        crashTimes.push(now);
         tally.ended++;
-        if (thirds.length === PROOFS) tally.underWay = fatalOn;
+        if (crashTimes.length === MIN_CRASHES) tally.underWay = fatalInFlight;
       });
     }
-    after(-Math.log(1 - part()) * (1000 / plan.fatalPerS), fatal);
+    after(-Math.log(1 - random()) * (1000 / plan.fatalPerS), fatalArrival);
   };
   let count = 0;
-  const ordinary = (): void => {
+  const ordinaryArrival = (): void => {
     const id = `o${count++}`.padStart(22, "x");
-    const h = one(hosts);
-    const runMs = between(RUN_MS);
+    const h = pick(hosts);
+    const runMs = uniformIn(RUN_MS);
     tally.ordinary++;
     const attempt = (left: number): void => {
       if (!h || left === 0) return;
-      if (isCondemned(h, id)) {
+      if (isQuarantined(h, id)) {
         condemned.add(id);
         return;
       }
@@ -204,22 +219,22 @@
           });
       });
     };
-    attempt(SENDS);
-    after(-Math.log(1 - part()) * (1000 / plan.ordinaryPerS), ordinary);
+    attempt(MAX_SENDS);
+    after(-Math.log(1 - random()) * (1000 / plan.ordinaryPerS), ordinaryArrival);
   };
-  const byItself = (): void => {
-    const w = one(workers.filter((x) => x.up));
-    if (w) end(w);
-    after(-Math.log(1 - part()) * (1000 / plan.endsPerS), byItself);
+  const spontaneousCrash = (): void => {
+    const w = pick(workers.filter((x) => x.up));
+    if (w) crash(w);
+    after(-Math.log(1 - random()) * (1000 / plan.endsPerS), spontaneousCrash);
   };
-  after(1, ordinary);
-  if (plan.fatalPerS > 0) after(1000, fatal);
-  if (plan.endsPerS > 0) after(1, byItself);
+  after(1, ordinaryArrival);
+  if (plan.fatalPerS > 0) after(1000, fatalArrival);
+  if (plan.endsPerS > 0) after(1, spontaneousCrash);
   if (plan.domainLostAt !== undefined)
     after(plan.domainLostAt, () => {
-      for (const w of workers.filter((_, i) => i % 3 === 0)) end(w);
+      for (const w of workers.filter((_, i) => i % 3 === 0)) crash(w);
     });
-  for (let e = queue.pop(); e && e.at < PLAYED_MS; e = queue.pop()) {
+  for (let e = queue.pop(); e && e.at < SIMULATED_MS; e = queue.pop()) {
     now = e.at;
     e.run();
   }
--- a/test/serving/quarantine.test.ts
+++ b/test/serving/quarantine.test.ts
@@ -15,14 +15,14 @@
 const CALL: catalog.Route = { ...fixtures.ROUTE, kind: "idempotent", attempts: 4 };
 const WHOLE: Served = (res) => res.writeHead(200, fixtures.good()).end("x");
 const RESET: Served = (res) => res.socket?.resetAndDestroy();
-const END: Served = (_res, end) => {
+const CRASH: Served = (_res, end) => {
   end();
 };
 
-/** What ends the parts of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Cleanup functions of the current test, run even when it fails. */
+const cleanups: (() => void)[] = [];
 
-/** A dispatcher over some workers. */
+/** A dispatcher over workers that serve as given. */
 async function site(...workers: readonly Served[]) {
   let runs = 0;
   const made = await Promise.all(
@@ -41,7 +41,7 @@
     endpoints: new Map(list.map((e) => [e.id, e])),
   };
   const open = dispatching.open(() => at);
-  ends.push(open.close, ...made.map((w) => w.close));
+  cleanups.push(open.close, ...made.map((w) => w.close));
   return {
     suspects: open.suspects,
     runs: () => runs,
@@ -49,7 +49,10 @@
       const e = at.endpoints.get(id);
       if (e) at = catalog.step(at, { kind: "endpoint", endpoint: { ...e, leaving: true } });
     },
-    /** Serves one request; what its caller was told, and when to come back in ms. */
+    /**
+     * Serves one request; returns what its caller was answered, and the milliseconds after which to
+     * retry.
+     */
     ask: async (over: Parameters<typeof fixtures.request>[0] = {}) => {
       const { outlet, seen } = dispatching.recorded();
       let comeBackMs: number | undefined;
@@ -66,7 +69,7 @@
   };
 }
 
-/** Another host tells that workers ended under a request. */
+/** A message of another host that workers crashed under a request. */
 function told(workers: readonly string[]): hearsay.Message {
   const id = identity.of(fixtures.request({ route: CALL }));
   const news = workers.map((worker): suspicion.News => {
@@ -99,12 +102,12 @@
   });
 });
 
-describe("a request under which workers ended", () => {
+describe("a request under which workers crashed", () => {
   afterEach(() => {
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
-  it("is refused at once after the third, as not run, until that lapses", async () => {
+  it("is refused at once after the third crash, as not run, until the crashes expire", async () => {
     const s = await site(WHOLE);
     s.suspects.hear(told(["a", "b"]), "peer");
     s.suspects.hear(told(["c"]), "another");
@@ -117,13 +120,13 @@
   });
 
   it("is sent on after the first, and under suspicion no more once it ran", async () => {
-    const s = await site(END, WHOLE);
+    const s = await site(CRASH, WHOLE);
     expect((await s.ask()).seen).deep.equal(["answer 200"]);
     expect([s.runs(), s.suspects.size]).deep.equal([2, 0]);
   });
 
   it("ends no more than three of the workers that there are, though it may be sent to more", async () => {
-    const s = await site(END, END, END, END);
+    const s = await site(CRASH, CRASH, CRASH, CRASH);
     expect((await s.ask()).seen).deep.equal(["refuse 502"]);
     expect([s.runs(), s.suspects.size]).deep.equal([3, 1]);
   });
