--- a/test/serving/limited.test.ts
+++ b/test/serving/limited.test.ts
@@ -40,7 +40,7 @@
 
 interface End {
   readonly status: number;
-  readonly comeBackMs: number | undefined;
+  readonly retryAfterMs: number | undefined;
   readonly tookMs: number;
 }
 
@@ -52,20 +52,20 @@
   const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
   const sentAt = performance.now();
   let end: End | undefined;
-  const finish = (status: number, comeBackMs?: number): void => {
-    end = { status, comeBackMs, tookMs: performance.now() - sentAt };
+  const finish = (status: number, retryAfterMs?: number): void => {
+    end = { status, retryAfterMs, tookMs: performance.now() - sentAt };
   };
   const outlet: progress.Outlet = {
     ...dispatching.recorded().outlet,
     answer: (status) => {
       finish(status);
     },
-    refuse: (status, _why, comeBackMs) => {
-      finish(status, comeBackMs);
+    refuse: (status, _why, retryAfterMs) => {
+      finish(status, retryAfterMs);
     },
   };
   await made.dispatcher.serve(fixtures.request({ meta, headers: { "test-id": id } }), outlet);
-  return end ?? { status: 0, comeBackMs: undefined, tookMs: 0 };
+  return end ?? { status: 0, retryAfterMs: undefined, tookMs: 0 };
 }
 
 describe("requests to workers that announce limits", () => {
@@ -94,8 +94,8 @@
     expect(refused.length).least(6);
     expect(Math.max(...refused.map((e) => e.tookMs))).below(200);
     const [first] = refused;
-    expect(first?.comeBackMs).within(120, 1000);
-    await timers.setTimeout((first?.comeBackMs ?? 0) + admission.TURN_MS);
+    expect(first?.retryAfterMs).within(120, 1000);
+    await timers.setTimeout((first?.retryAfterMs ?? 0) + admission.TURN_MS);
     expect((await serve(made)).status).equal(200);
   });
 
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -46,7 +46,7 @@
 
 interface End {
   readonly status: number;
-  readonly comeBackMs: number | undefined;
+  readonly retryAfterMs: number | undefined;
   readonly tookMs: number;
 }
 
@@ -56,9 +56,9 @@
   const id = `r${count++}`;
   const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
   const sentAt = performance.now();
-  let end: End = { status: 0, comeBackMs: undefined, tookMs: 0 };
-  const finish = (status: number, comeBackMs?: number): void => {
-    end = { status, comeBackMs, tookMs: performance.now() - sentAt };
+  let end: End = { status: 0, retryAfterMs: undefined, tookMs: 0 };
+  const finish = (status: number, retryAfterMs?: number): void => {
+    end = { status, retryAfterMs, tookMs: performance.now() - sentAt };
   };
   const now = clk.mono();
   const a = fixtures.request({
@@ -72,8 +72,8 @@
     answer: (status) => {
       finish(status);
     },
-    refuse: (status, _why, comeBackMs) => {
-      finish(status, comeBackMs);
+    refuse: (status, _why, retryAfterMs) => {
+      finish(status, retryAfterMs);
     },
   });
   return end;
@@ -109,7 +109,7 @@
     const end = await serve(made);
     expect(end.status).equal(503);
     expect(end.tookMs).below(100);
-    const backAt = performance.now() + (end.comeBackMs ?? 0);
+    const backAt = performance.now() + (end.retryAfterMs ?? 0);
     expect(backAt - began).within(2000, 2400);
     expect([a.seen.arrivals.length, b.seen.arrivals.length]).deep.equal([1, 1]);
   });
--- a/test/serving/quarantine.test.ts
+++ b/test/serving/quarantine.test.ts
@@ -55,16 +55,16 @@
      */
     ask: async (over: Parameters<typeof fixtures.request>[0] = {}) => {
       const { outlet, seen } = dispatching.recorded();
-      let comeBackMs: number | undefined;
+      let retryAfterMs: number | undefined;
       const refuse: typeof outlet.refuse = (status, why, ms) => {
-        comeBackMs = ms;
+        retryAfterMs = ms;
         outlet.refuse(status, why, ms);
       };
       await open.dispatcher.serve(fixtures.request({ route: CALL, ...over }), {
         ...outlet,
         refuse,
       });
-      return { seen, comeBackMs };
+      return { seen, retryAfterMs };
     },
   };
 }
@@ -111,9 +111,9 @@
     const s = await site(WHOLE);
     s.suspects.hear(told(["a", "b"]), "peer");
     s.suspects.hear(told(["c"]), "another");
-    const { seen, comeBackMs } = await s.ask();
+    const { seen, retryAfterMs } = await s.ask();
     expect(seen).deep.equal(["refuse 503"]);
-    expect(comeBackMs).within(suspicion.LAPSE_MS - 1000, suspicion.LAPSE_MS);
+    expect(retryAfterMs).within(suspicion.LAPSE_MS - 1000, suspicion.LAPSE_MS);
     expect(s.runs()).equal(0);
     // Another request of the same caller is served.
     expect((await s.ask({ path: "/c/other" })).seen).deep.equal(["answer 200"]);
