--- a/src/serving/autopsy.ts
+++ b/src/serving/autopsy.ts
@@ -19,6 +19,7 @@
 const CACHE_MS = 500;
 const REFUSED = "ECONNREFUSED";
 
+/** Checks workers for crashes and shares the results for a short time. */
 export class Autopsy {
   private readonly results = new Map<string, Promise<boolean>>();
 
--- a/src/serving/availability.ts
+++ b/src/serving/availability.ts
@@ -31,7 +31,10 @@
   /** Steady ms at which the request was sent and, in `at`, its answer arrived. */
   readonly sentAt: number;
   readonly at: number;
-  /** The worker ran the request: only then does silence mean that there is no limit. */
+  /**
+   * Whether the worker ran the request: only then does an answer without a limit mean that there is
+   * none.
+   */
   readonly ran: boolean;
 }
 
--- a/src/serving/caps.ts
+++ b/src/serving/caps.ts
@@ -47,6 +47,7 @@
   readonly overdraft: number;
 }
 
+/** Admits requests under the usage caps of teams. */
 export class Caps {
   constructor(private readonly deps: Deps) {}
 
--- a/src/serving/draws.ts
+++ b/src/serving/draws.ts
@@ -8,6 +8,7 @@
 /** The reply to a draw; undefined if the endpoint daemon disconnected or did not reply in time. */
 type Reply = limiterMessages.Drawn | undefined;
 
+/** The pending draws of one connection, by their ids. */
 export class Draws {
   private readonly pending = new Map<number, (a: Reply) => void>();
 
@@ -27,6 +28,7 @@
     });
   }
 
+  /** Resolves draw `n` with its reply; ignores draws that are not pending. */
   settle(n: number, a: Reply): void {
     this.pending.get(n)?.(a);
     this.pending.delete(n);
--- a/src/serving/hearsay.ts
+++ b/src/serving/hearsay.ts
@@ -55,6 +55,7 @@
   readonly log: record.Log;
 }
 
+/** The crash records of one daemon, updated by messages. */
 export class Hearsay {
   private at = suspicion.EMPTY;
   private unreadable = 0;
--- a/src/serving/limiter-messages.ts
+++ b/src/serving/limiter-messages.ts
@@ -57,8 +57,10 @@
  */
 export const LEASE_MS = 2000;
 
+/** The messages from entry daemons to owners. */
 export const fromEntry = [attach, keep, draw, refund] as const;
 export type Attach = zod.infer<typeof attach>;
+/** A total as an entry daemon attaches it. */
 export type Total = Attach["totals"][number];
 export type Keep = zod.infer<typeof keep>;
 export type Draw = zod.infer<typeof draw>;
--- a/src/serving/limiter-place.ts
+++ b/src/serving/limiter-place.ts
@@ -37,6 +37,7 @@
   readonly log: record.Log;
 }
 
+/** The totals that one endpoint daemon owns. */
 export class LimiterPlace {
   private readonly hosts = new Map<announcer.Client, Host>();
   private readonly owned = new Map<string, OwnedTotal>();
@@ -51,11 +52,13 @@
     return this.owned.size;
   }
 
+  /** An entry daemon connected. */
   join(c: announcer.Client): void {
     this.hosts.set(c, { knownHosts: 1, lastContactAt: this.deps.clock.mono() });
     this.hostCount();
   }
 
+  /** An entry daemon disconnected; its totals are detached. */
   leave(c: announcer.Client): void {
     this.hostCount();
     this.hosts.delete(c);
@@ -67,6 +70,7 @@
     this.recordContact(c, this.hosts.get(c)?.knownHosts ?? 1);
   }
 
+  /** An entry daemon replaces its set of attached totals. */
   attach(c: announcer.Client, m: messages.Attach): void {
     this.recordContact(c, m.hosts);
     const listed = new Map(m.totals.map((t) => [t.key, t]));
@@ -81,6 +85,7 @@
     this.prune();
   }
 
+  /** Replies to a draw; a total that the sender has not attached admits nothing. */
   draw(c: announcer.Client, m: messages.Draw): void {
     const k = this.refilled(m.key);
     if (!k?.attached.has(c)) {
@@ -101,6 +106,7 @@
     if (result.granted < m.wants.length) this.logExhausted(k, part, result);
   }
 
+  /** Returns the units of a request that did not run. */
   refund(c: announcer.Client, m: messages.Refund): void {
     const k = this.refilled(m.key);
     if (!k?.attached.has(c)) return;
--- a/src/serving/limiter.ts
+++ b/src/serving/limiter.ts
@@ -90,6 +90,7 @@
   readonly hosts: () => number | undefined;
 }
 
+/** Admits requests under totals: one per entry daemon. */
 export class Limiter {
   private readonly queues = new Map<string, Queue>();
   /** The current owner of each total for this host. */
@@ -155,6 +156,7 @@
     });
   }
 
+  /** Stops renewing the leases. */
   close(): void {
     this.timer?.cancel();
   }
--- a/src/serving/notice-relay.ts
+++ b/src/serving/notice-relay.ts
@@ -15,6 +15,7 @@
  */
 const MAX_WORKERS = 4096;
 
+/** The announced state of workers, as one endpoint daemon knows and relays it. */
 export class NoticeRelay {
   private readonly states = new Map<string, availability.Availability>();
   private readonly clients = new Set<announcer.Client>();
@@ -25,11 +26,13 @@
     private readonly onChange: () => void,
   ) {}
 
+  /** An entry daemon connected: sends it the known states. */
   join(c: announcer.Client): void {
     this.clients.add(c);
     for (const [worker, state] of this.states) c.send(messages.of(worker, state));
   }
 
+  /** An entry daemon disconnected. */
   leave(c: announcer.Client): void {
     this.clients.delete(c);
   }
--- a/src/serving/notices.ts
+++ b/src/serving/notices.ts
@@ -24,6 +24,7 @@
   readonly retryAfterMs: Said<number>;
 }
 
+/** No announcement. */
 export const UNSAID = { kind: "unsaid" } as const;
 
 /** The notice of an answer without announcements. */
--- a/src/serving/quarantine.ts
+++ b/src/serving/quarantine.ts
@@ -22,6 +22,7 @@
 
 const evidence = zod.object({ workers: zod.array(zod.string()), at: zod.coerce.date() });
 
+/** Formats the value of a key. */
 export function encode(e: Evidence): string {
   return JSON.stringify(e);
 }
--- a/src/serving/relay.ts
+++ b/src/serving/relay.ts
@@ -7,6 +7,7 @@
 import type * as announcer from "./announcer.js";
 import * as hearsay from "./hearsay.js";
 
+/** Relays suspicion messages between the connected entry daemons. */
 export class Relay {
   private readonly state: hearsay.Hearsay;
   private readonly clients = new Set<announcer.Client>();
@@ -15,11 +16,13 @@
     this.state = new hearsay.Hearsay(deps);
   }
 
+  /** An entry daemon connected: sends it all known records. */
   join(c: announcer.Client): void {
     this.clients.add(c);
     for (const m of this.state.retold()) c.send(m);
   }
 
+  /** An entry daemon disconnected. */
   leave(c: announcer.Client): void {
     this.clients.delete(c);
   }
--- a/src/serving/suspects.ts
+++ b/src/serving/suspects.ts
@@ -39,6 +39,7 @@
  */
 const CONFIRM_MS = 2500;
 
+/** Tracks requests that crash their workers: one per entry daemon. */
 export class Suspects {
   private readonly known: hearsay.Hearsay;
   /** What this host has observed itself; sent to endpoint daemons on a new connection. */
@@ -56,7 +57,7 @@
     return this.known.book.ends.size;
   }
 
-  /** The verdict on a request. Computes no hash while no request is suspected. */
+  /** The verdict on a request. Costs nothing while no request is suspected or quarantined. */
   judge(a: ask.Ask): suspicion.Verdict {
     const { quarantined } = this.deps.catalog();
     if (this.known.isQuiet && quarantined.size === 0) return suspicion.FREE;
--- a/src/serving/suspicion.ts
+++ b/src/serving/suspicion.ts
@@ -41,6 +41,7 @@
   readonly at: number;
 }
 
+/** The known crashes under requests. */
 export interface Book {
   /** By identity, then by worker. */
   readonly ends: ReadonlyMap<string, ReadonlyMap<string, RecordedCrash>>;
@@ -51,8 +52,10 @@
   readonly voided: ReadonlyMap<string, number>;
 }
 
+/** Records without crashes. */
 export const EMPTY: Book = { ends: new Map(), voided: new Map() };
 
+/** Whether a request may be sent to a worker. */
 export type Verdict =
   | { readonly kind: "free"; readonly workers: readonly [] }
   /** Some workers crashed while running it, which proves nothing yet. */
@@ -64,6 +67,7 @@
       readonly releaseMs: number;
     };
 
+/** The verdict on a request without known crashes. */
 export const FREE: Verdict = { kind: "free", workers: [] };
 
 /**
--- a/src/serving/worker-notices.ts
+++ b/src/serving/worker-notices.ts
@@ -87,6 +87,7 @@
   readonly heardAt: number;
 }
 
+/** The announced state of all workers, as one entry daemon knows it. */
 export class WorkerNotices {
   private readonly workers = new Map<string, WorkerState>();
   /**
