--- a/src/serving/worker-notices.ts
+++ b/src/serving/worker-notices.ts
@@ -6,8 +6,8 @@
  * It protects a worker in need, to which all hosts would otherwise go on sending: each send,
  * including each retry, takes one request of the limit before it is made. So in any time window a
  * worker gets at most the limit's refill during the window, the burst, and what was admitted
- * earlier and arrives late: that is bounded by the sum of {@link admission.MAX_LIMIT_WAIT_MS}, {@link
- * PERMIT_VALID_MS} and the time to connect.
+ * earlier and arrives late: that is bounded by the sum of {@link admission.MAX_LIMIT_WAIT_MS},
+ * {@link PERMIT_VALID_MS} and the time to connect.
  * @module
  */
 import type * as clock from "../host/clock.js";
