--- a/src/serving/limiter.ts
+++ b/src/serving/limiter.ts
@@ -338,8 +338,8 @@
   readonly refusal: Verdict;
 }
 
-function undecided(waitMs: number): Verdict {
-  return { kind: "unsure", comeBackMs: waitMs };
+function undecided(comeBackMs: number): Verdict {
+  return { kind: "unsure", comeBackMs };
 }
 
 function refusalFor(waitMs: number | undefined): Verdict {
