--- a/test/platform/crashing.test.ts
+++ b/test/platform/crashing.test.ts
@@ -26,7 +26,7 @@
  * remembered only within one attempt on one host don't stop it. Over 15 crashes, the same adapter
  * was in use under each and no other under more than five; the crashes were spread over all entry
  * hosts, and nine of them were first sends. Without the quarantine, ten attempts of each kind below
- * crashed 12, 4 and 4 workers, which were all that came back in time to crash.
+ * crashed 12, 4 and 4 workers, which were all the workers available in that time.
  */
 describe("a request that crashes its workers", () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "sumacfield-"));
