--- a/src/serving/backlog.ts
+++ b/src/serving/backlog.ts
@@ -1,62 +1,62 @@
 /**
- * How long an engine will take to begin a prompt, estimated from the seats asked for and given, and
- * from how fast it has read lately. An engine reads prompts one after the other, in the order in which
- * it gets them, whatever their rank; so what has a seat goes before all that waits for one. Pure.
+ * Estimates how long a prompt waits until the engine starts to read it (prefill), from the seats asked for and
+ * granted and from the engine's latest reading speed. An engine reads prompts one after the other in order of
+ * arrival, whatever their rank, so all requests with a granted seat come before those that wait for one. Pure.
  * @module
  */
 import * as reading from "./reading.js";
 
-/** One seat that was asked for and is not over. */
+/** The load of one seat that is asked for or granted. */
 export interface Load {
   readonly tokens: number;
   readonly rank: number;
-  /** Monotonic ms at which its seat was given; undefined until then. */
+  /** Monotonic ms at which the seat was granted; undefined until then. */
   readonly givenAt: number | undefined;
-  /** Prompt tokens to be read until its first event, its own included, when it was given. */
+  /** Prompt tokens that the engine had to read before its first event when it was granted, its own included. */
   readonly toRead: number;
-  /** The first event came. */
+  /** Whether its first event has come. */
   readonly began: boolean;
 }
 
 export interface Backlog {
   readonly loads: ReadonlyMap<string, Load>;
   readonly reading: reading.Reading;
-  /** Monotonic ms at which the engine will have read all prompts that have seats, as far as known. */
+  /** Estimated monotonic ms at which the engine has read all prompts whose seats are granted. */
   readonly readUntil: number;
 }
 
-/** Ranks told apart; larger ones count as the last. */
+/** Number of ranks that are distinguished; larger ones count as the last. */
 export const RANKS = 10;
 
-/** Nothing asked for yet. */
+/** The backlog of an engine that no seat is asked for on. */
 export const IDLE: Backlog = { loads: new Map(), reading: reading.UNKNOWN, readUntil: -Infinity };
 
-/** The place of a rank among those told apart. */
+/** Index of a rank among those that are distinguished, 0 to {@link RANK_COUNT} - 1. */
 export function place(rank: number): number {
   return Math.min(RANKS - 1, Math.max(0, Math.round(rank)));
 }
 
-/** Milliseconds that the engine will still read prompts that have seats. */
+/** Estimated ms that the engine needs to read the prompts whose seats are granted. */
 export function readingMs(b: Backlog, now: number): number {
   return Math.max(0, b.readUntil - now);
 }
 
 /**
- * Milliseconds after which a seat without a first event counts no more as one that is being read: its
- * host may be frozen or gone, and must not keep the engine from others.
+ * Milliseconds after its grant for which a seat without a first event counts as one that the engine reads.
+ * Its entry host may be frozen or gone, and must not keep the engine from serving others.
  */
-const UNHEARD_MS = 1500;
+const FIRST_EVENT_TIMEOUT_MS = 1500;
 
-/** Prompts that have got their seats lately and have no first event yet. */
+/** Number of requests whose seats were granted lately and that have no first event yet. */
 export function unbegun(b: Backlog, now: number): number {
   let n = 0;
   for (const l of b.loads.values()) {
-    if (l.givenAt !== undefined && !l.began && now - l.givenAt < UNHEARD_MS) n++;
+    if (l.givenAt !== undefined && !l.began && now - l.givenAt < FIRST_EVENT_TIMEOUT_MS) n++;
   }
   return n;
 }
 
-/** Milliseconds until a prompt that arrives now begins to be read, by rank, in whole ms. */
+/** Estimated ms until the engine starts to read a prompt that arrives now, by rank, rounded. */
 export function waits(b: Backlog, now: number): readonly number[] {
   const tokens = new Array<number>(RANKS).fill(0);
   for (const l of b.loads.values()) {
@@ -70,12 +70,12 @@
   });
 }
 
-/** A seat is asked for. */
+/** Adds a seat that is asked for. */
 export function asked(b: Backlog, seat: string, tokens: number, rank: number): Backlog {
   return put(b, seat, { tokens, rank, givenAt: undefined, toRead: tokens, began: false });
 }
 
-/** A seat is given at `now`; remembers what is to be read until its first event. */
+/** Marks a seat as granted at `now`, and stores the tokens to be read until its first event. */
 export function given(b: Backlog, seat: string, now: number): Backlog {
   const l = b.loads.get(seat);
   if (!l) return b;
@@ -84,23 +84,24 @@
   return { ...put(b, seat, { ...l, givenAt: now, toRead }), readUntil: now + toRead * perToken };
 }
 
-/** The first event of a run came, `ms` after the request was sent. */
+/** Records that the first event of a run came, `ms` after its request was sent. */
 export function began(b: Backlog, seat: string, ms: number, now: number): Backlog {
   const l = b.loads.get(seat);
   if (!l || l.began) return b;
-  const learnt = reading.seen(b.reading, l.toRead, ms);
-  const at = { ...put(b, seat, { ...l, began: true }), reading: learnt };
-  // Its prompt was read some time before its first event; what has a seat since is read after it.
+  const speed = reading.seen(b.reading, l.toRead, ms);
+  const next = { ...put(b, seat, { ...l, began: true }), reading: speed };
+  // The engine finished this prompt `firstMs` before the first event; it reads the other granted ones after it.
   let tokens = 0;
-  for (const other of at.loads.values()) {
-    if (other.givenAt === undefined || other.began || now - other.givenAt >= UNHEARD_MS) continue;
+  for (const other of next.loads.values()) {
+    if (other.givenAt === undefined || other.began || now - other.givenAt >= FIRST_EVENT_TIMEOUT_MS)
+      continue;
     tokens += other.tokens;
   }
-  const readUntil = now - reading.firstMs(learnt) + tokens * reading.msPerToken(learnt);
-  return { ...at, readUntil };
+  const readUntil = now - reading.firstMs(speed) + tokens * reading.msPerToken(speed);
+  return { ...next, readUntil };
 }
 
-/** A seat is over. */
+/** Removes a seat that ended; a prompt that the engine has not read yet no longer counts. */
 export function over(b: Backlog, seat: string): Backlog {
   const l = b.loads.get(seat);
   if (!l) return b;
--- a/src/serving/desk.ts
+++ b/src/serving/desk.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoint daemon's door: takes entry daemons' connections and hands their messages to the
- * keeper.
+ * The endpoint daemon's TCP server: accepts connections from entry daemons and dispatches their
+ * messages to the engine manager, the relays and the limiter.
  * @module
  */
 import * as net from "node:net";
@@ -22,14 +22,14 @@
   readonly notices: noticeRelay.NoticeRelay;
 }
 
-/** Listens at `ip:port` until closed. */
+/** Listens at `ip:port` until `close` is called; `close` also ends all open connections. */
 export async function open(address: string, deps: Deps): Promise<{ readonly close: () => void }> {
   const sockets = new Set<net.Socket>();
   let count = 0;
   const server = net.createServer((socket) => {
     count++;
     sockets.add(socket);
-    take(socket, count, deps, () => sockets.delete(socket));
+    serve(socket, count, deps, () => sockets.delete(socket));
   });
   await addresses.listen(server, address);
   return {
@@ -40,7 +40,8 @@
   };
 }
 
-function take(socket: net.Socket, count: number, deps: Deps, over: () => void): void {
+/** Serves one connection; `count` numbers it, so that a reconnecting host counts as a new client. */
+function serve(socket: net.Socket, count: number, deps: Deps, onClosed: () => void): void {
   let client: announcer.Client | undefined;
   const channel = lines.channel<seat.FromEntry, seat.FromEndpoint>(socket, seat.fromEntry, {
     message: (m) => {
@@ -55,7 +56,7 @@
           deps.relay.join(client);
           deps.limiter.join(client);
           deps.notices.join(client);
-          deps.log.info("An entry daemon is connected.", { peer: m.host });
+          deps.log.info("Entry daemon connected.", { peer: m.host });
           break;
         case "ask":
           if (client) deps.keeper.ask(client, m);
@@ -87,13 +88,13 @@
       }
     },
     closed: (why) => {
-      over();
+      onClosed();
       if (!client) return;
       deps.keeper.leave(client);
       deps.relay.leave(client);
       deps.limiter.leave(client);
       deps.notices.leave(client);
-      deps.log.info("An entry daemon is lost.", { peer: client.host, why });
+      deps.log.info("Entry daemon disconnected.", { peer: client.host, why });
     },
   });
 }
--- a/src/serving/diversion.ts
+++ b/src/serving/diversion.ts
@@ -1,30 +1,30 @@
 /**
- * Whether an endpoint daemon sends a request back to its entry daemon at once, so that another engine is
- * looked for.
+ * Decides whether an endpoint daemon denies a seat at once, so that the entry daemon tries another engine.
  *
- * The load that this answers is a burst on a fleet with many entry hosts: each of them knows an engine's
- * queue as it was up to some hundred ms ago, and several choose the same engine meanwhile. The endpoint
- * daemon knows its queue as it is. A request that would be late because it waits here goes back with that
- * news, which costs one more way to an engine, some 3 ms between failure domains. Where the entry daemon
- * knows no better engine it asks once more and says so, and then the request waits here. Pure.
+ * This is for bursts on fleets with many entry hosts: the state of an engine's queue that an entry daemon
+ * has is up to some hundred ms old, and several entry daemons choose the same engine in that time. Only the
+ * endpoint daemon knows its current queue. It denies a seat for a request that would be late because of
+ * the wait here, and sends its current state along. That costs one more trip to an engine, some 3 ms between
+ * failure domains. If the entry daemon knows no better engine, it asks again with `firm` set, and the
+ * request then waits here. Pure.
  * @module
  */
 
-/** How a request stands on an engine; times from now, in ms. */
+/** Estimated times of a request on an engine, in ms. */
 export interface Standing {
-  /** Until its prompt would be begun. */
+  /** From now until the engine would start to read its prompt. */
   readonly waitMs: number;
-  /** From then until its first event. */
+  /** From the start of reading its prompt until its first event. */
   readonly ownMs: number;
-  /** Until its first event is late. */
+  /** From now until the target time of its first event; a later first event is late. */
   readonly targetMs: number;
 }
 
-/** Milliseconds of waiting up to which another ask costs about as much as it can gain. */
-const LEAST_WAIT_MS = 20;
+/** Waits of up to this many ms are accepted: asking another engine costs about as much as it can gain. */
+const ACCEPTED_WAIT_MS = 20;
 
-/** Whether a request is better looked after elsewhere: it would be late here, and only for waiting. */
+/** Whether a request would be late here, but would be on time on an engine without a queue. */
 export function isDiverted(s: Standing): boolean {
-  if (s.waitMs <= LEAST_WAIT_MS) return false;
+  if (s.waitMs <= ACCEPTED_WAIT_MS) return false;
   return s.ownMs <= s.targetMs && s.waitMs + s.ownMs > s.targetMs;
 }
--- a/src/serving/slot-options.ts
+++ b/src/serving/slot-options.ts
@@ -1,30 +1,33 @@
 /**
- * The figures by which an endpoint daemon keeps its engine's slots, from what the configuration says and what
- * loads have shown. Pure.
+ * Options for managing an engine's slots, from the configuration and the history of its loads. Pure.
  * @module
  */
 import type * as catalog from "./catalog.js";
 import type * as residency from "./residency.js";
 import * as warmth from "./warmth.js";
 
-/** Figures for adapters: see {@link residency.Options}. */
-const LOADS_AT_ONCE = 4;
+/** Loads of adapters in progress at the same time, at most. */
+const MAX_LOADS = 4;
+/** Milliseconds that a request waits for a slot before an adapter in use is closed for it. */
 const CLOSE_AFTER_MS = 120;
-/** Part of the time in which a version must be in force for which an outdated one is given out. */
-const OUTDATED_PART = 0.3;
+/** For how long seats on an outdated version are still granted, as a fraction of `versionMs`. */
+const OUTDATED_FRACTION = 0.3;
 
-/** For an engine as `spec` describes it, with `versionMs` until a declared version must be the only one used. */
+/**
+ * Returns the options for the engine that `spec` describes; `versionMs` after its declaration, a version must
+ * be the only one in use.
+ */
 export function of(
   spec: catalog.EngineSpec | undefined,
-  learnt: warmth.Warmth,
+  history: warmth.Warmth,
   versionMs: number,
 ): residency.Options {
   return {
     slots: spec?.slots ?? 1,
-    loads: LOADS_AT_ONCE,
-    coldLoads: warmth.coldAtOnce(learnt),
-    isWarm: (key) => warmth.isWarm(learnt, key),
+    loads: MAX_LOADS,
+    coldLoads: warmth.coldAtOnce(history),
+    isWarm: (key) => warmth.isWarm(history, key),
     closeAfterMs: CLOSE_AFTER_MS,
-    outdatedMs: OUTDATED_PART * versionMs,
+    outdatedMs: OUTDATED_FRACTION * versionMs,
   };
 }
--- a/src/serving/waiting.ts
+++ b/src/serving/waiting.ts
@@ -1,47 +1,52 @@
 /**
- * Who waits for a seat on an engine, and in which order they are served. Pure.
+ * The requests that wait for a seat on an engine, and the order in which they are served. Pure.
  * @module
  */
 import type * as seat from "./seat.js";
 
-/** A seat that is asked for and not yet given. */
+/** A request for a seat that is neither granted nor denied yet. */
 export interface Waiter {
+  /** Identifies the seat among those of all connections. */
   readonly seat: string;
+  /** Key of the adapter, or of the base model. */
   readonly key: string;
   readonly model: string;
-  /** Left out for the base model itself. */
+  /** Undefined if the request is for the base model itself. */
   readonly adapter?: string | undefined;
+  /** Urgency; 0 is the most urgent. */
   readonly rank: number;
+  /** Monotonic ms at which the seat was asked for. */
   readonly since: number;
-  /** Milliseconds that the engine will read its prompt, until its first event. */
+  /** Estimated ms from the start of reading its prompt until its first event. */
   readonly ownMs: number;
-  /** Monotonic ms after which its answer is late, and after which the seat is of no use. */
+  /** Monotonic ms after which its first event is late. */
   readonly targetAt: number;
+  /** Monotonic ms after which the seat is of no use, and is denied. */
   readonly dueAt: number;
 }
 
 /**
- * Milliseconds of waiting that one step of urgency counts as. Places are what is scarce, and urgent
- * answers may hold one ten times as long as others, so urgency goes before age by a little only.
+ * Milliseconds of waiting that one step of rank is worth. It is small because slots are scarce and
+ * an urgent request may hold one ten times as long as another.
  */
 const RANK_MS = 100;
 
-/** The waiter that an ask for the adapter `key` makes at `now`. */
+/** Creates the waiter for a request for a seat that arrives at `now`; `key` is its adapter's. */
 export function from(seatId: string, key: string, m: seat.Ask, ownMs: number, now: number): Waiter {
   const { model, adapter, rank } = m;
   const times = { since: now, targetAt: now + m.targetMs, dueAt: now + m.leftMs };
   return { seat: seatId, key, model, adapter, rank, ownMs, ...times };
 }
 
-/** Monotonic ms until which a waiter must be begun to be on time. */
+/** Latest monotonic ms at which the engine must start on a request for its first event to be on time. */
 function startBy(w: Waiter): number {
   return w.targetAt - w.ownMs;
 }
 
 /**
- * Waiters in the order they are served: those that can still be on time by how soon they must be begun
- * for it, then the others by their deadline. This answers engines with more to read than they can: a
- * late answer is worth the same a little later, so it gives way to what would be late because of it.
+ * Sorts waiters into the order in which they are served: first those that can still be on time, by their
+ * latest start and rank; then the others, by the time at which their seat is of no use any more. Under
+ * overload, a late answer loses little by coming later still, so it yields to those that it would make late.
  */
 export function inOrder(waiting: readonly Waiter[], now: number): readonly Waiter[] {
   const late = (w: Waiter): number => (isLate(w, now) ? 1 : 0);
@@ -49,7 +54,7 @@
   return [...waiting].sort((a, b) => late(a) - late(b) || key(a) - key(b));
 }
 
-/** Whether a waiter would be late even if it were begun at `now`. */
+/** Whether a waiter's first event would be late even if the engine started on it at `now`. */
 export function isLate(w: Waiter, now: number): boolean {
   return now > startBy(w);
 }
