--- a/src/serving/announcer.ts
+++ b/src/serving/announcer.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the entry daemons that are connected how busy an engine is and what it holds. One that has
- * just asked for a seat hears soon; the others hear of changes at a pace that slackens as they grow
- * in number, so that what is sent and heard does not grow with hosts times engines times requests.
+ * Sends connected entry daemons the engine's state (how busy it is) and its holdings (what it holds). An entry
+ * daemon that has just asked for a seat gets them in the next round. The others get changes at an interval
+ * that grows with their number, so that the traffic does not grow with hosts times engines times requests.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -9,58 +9,62 @@
 import type * as listing from "./listing.js";
 import type * as seat from "./seat.js";
 
-/** Milliseconds between two rounds of words, so that many changes make one message. */
+/** Minimum ms between two rounds of announcements, so that many changes are sent in one message. */
 const ROUND_MS = 20;
 /**
- * Milliseconds by which the pace of those that ask for nothing slackens with each of the first entry daemons,
- * how many these are, and with each further one. Words are most
- * of what an entry daemon without requests spends, and older words make for worse choices.
+ * Milliseconds that each of the first {@link FEW_CLIENTS} entry daemons adds to the interval between
+ * announcements of changes. Announcements are most of what an entry daemon without requests spends, but older
+ * ones make for worse choices of an engine.
  */
-const PACE_MS_EACH = 10;
-const FEW = 20;
-const PACE_MS_FURTHER = 25;
-/** Milliseconds between two words at most, for few entry daemons, and by how much each adds to it. */
-const SILENCE_MS = 1000;
+const INTERVAL_MS_EACH = 10;
+/** Number of entry daemons up to which each adds {@link INTERVAL_MS_EACH}. */
+const FEW_CLIENTS = 20;
+/** Milliseconds that each further entry daemon adds to the interval. */
+const INTERVAL_MS_FURTHER = 25;
+/** Minimum of the longest interval without an announcement, in ms. */
+const MIN_SILENCE_MS = 1000;
+/** Milliseconds per entry daemon in the longest interval without an announcement, where that is more. */
 const SILENCE_MS_EACH = 20;
 
 /** An entry daemon's connection. */
 export interface Client {
+  /** Name of its host, with the number of the connection. */
   readonly host: string;
   readonly send: (m: seat.FromEndpoint) => void;
-  /** Sends a message that is encoded already. */
+  /** Sends messages that are already encoded. */
   readonly sendLine: (line: string) => void;
 }
 
-/** What one entry daemon was told last. */
-interface Told {
-  /** Count of changes that the last word included. */
+/** What was last sent to one entry daemon. */
+interface Sent {
+  /** Value of the change counter at the last announcement. */
   readonly changes: number;
-  /** Count of changes of the holdings that it was told. */
+  /** Value of the counter of changes of the holdings at the last announcement; -1 before the first. */
   readonly held: number;
-  /** Monotonic ms of the last word. */
+  /** Monotonic ms of the last announcement. */
   readonly at: number;
-  /** It is to hear in the next round. */
+  /** Whether it gets an announcement in the next round in any case. */
   readonly soon: boolean;
-  /** The state that it was told, as text. */
+  /** The state that was sent, encoded. */
   readonly state: string;
 }
 
-/** An adapter that left the engine, and the count of changes of the holdings when it did. */
+/** An adapter that left the engine, and the counter of changes of the holdings at that time. */
 interface Departure {
   readonly key: string;
   readonly held: number;
 }
 
-/** Departures remembered: more than an engine has between two words to one entry daemon. */
-const DEPARTURES = 64;
+/** Number of departures kept, more than an engine has between two announcements to one entry daemon. */
+const MAX_DEPARTURES = 64;
 
-const NOTHING: Told = { changes: -1, held: -1, at: -Infinity, soon: true, state: "" };
+const NOTHING_SENT: Sent = { changes: -1, held: -1, at: -Infinity, soon: true, state: "" };
 
 export class Announcer {
-  private readonly clients = new Map<Client, Told>();
+  private readonly clients = new Map<Client, Sent>();
   private changes = 0;
   private heldChanges = 0;
-  /** The holdings that were told last, as text. */
+  /** The latest holdings, encoded. */
   private heldText = "";
   private departures: readonly Departure[] = [];
   private roundAt = -Infinity;
@@ -71,17 +75,17 @@
     private readonly clk: clock.Clock,
     private readonly state: (silenceMs: number) => seat.State,
     private readonly holdings: () => listing.Holdings,
-    /** Adapters that the engine has in its host's memory, the latest first. */
+    /** Adapters that are probably in the memory of the engine's host, the latest first. */
     private readonly recent: () => readonly string[],
   ) {}
 
-  /** Entry daemons connected. */
+  /** Number of connected entry daemons. */
   count(): number {
     return this.clients.size;
   }
 
   join(c: Client): void {
-    this.clients.set(c, NOTHING);
+    this.clients.set(c, NOTHING_SENT);
     this.changed();
   }
 
@@ -90,36 +94,36 @@
     this.changed();
   }
 
-  /** An entry daemon asked for something; its next word comes in the next round. */
+  /** Sends an entry daemon an announcement in the next round; called when it has asked for a seat. */
   asked(c: Client): void {
-    const told = this.clients.get(c);
-    if (told) this.clients.set(c, { ...told, soon: true });
+    const sent = this.clients.get(c);
+    if (sent) this.clients.set(c, { ...sent, soon: true });
     this.changed();
   }
 
-  /** Something changed that entry daemons should know. */
+  /** Records a change of the state or the holdings, and schedules its announcement. */
   changed(): void {
     this.changes++;
-    this.plan();
+    this.schedule();
   }
 
-  /** Something changed that all entry daemons must know soon: the engine came or went. */
+  /** Sends all entry daemons an announcement in the next round; called when the engine came up or went down. */
   changedMuch(): void {
-    for (const [c, told] of this.clients) this.clients.set(c, { ...told, soon: true });
+    for (const [c, sent] of this.clients) this.clients.set(c, { ...sent, soon: true });
     this.changed();
   }
 
-  /** An adapter is in its place no more. */
+  /** Records that an adapter is in no slot any more. */
   departed(key: string): void {
     this.heldChanges++;
-    const at = { key, held: this.heldChanges };
-    this.departures = [...this.departures.slice(1 - DEPARTURES), at];
+    const departure = { key, held: this.heldChanges };
+    this.departures = [...this.departures.slice(1 - MAX_DEPARTURES), departure];
   }
 
-  /** Tells one entry daemon at once how things stand. */
+  /** Sends one entry daemon the current state, and the holdings if they changed, at once. */
   tell(c: Client): void {
-    const told = this.clients.get(c);
-    if (told) this.say(c, told, this.word());
+    const sent = this.clients.get(c);
+    if (sent) this.announce(c, sent, this.compose());
   }
 
   close(): void {
@@ -127,62 +131,64 @@
     this.clients.clear();
   }
 
-  private paceMs(): number {
-    const few = Math.min(FEW, this.clients.size);
+  /** Milliseconds between announcements of changes to an entry daemon that asks for no seats. */
+  private intervalMs(): number {
+    const few = Math.min(FEW_CLIENTS, this.clients.size);
     const further = this.clients.size - few;
-    return Math.max(ROUND_MS, PACE_MS_EACH * few + PACE_MS_FURTHER * further);
+    return Math.max(ROUND_MS, INTERVAL_MS_EACH * few + INTERVAL_MS_FURTHER * further);
   }
 
+  /** Longest interval without an announcement, in ms. */
   private silenceMs(): number {
-    return Math.max(SILENCE_MS, SILENCE_MS_EACH * this.clients.size);
+    return Math.max(MIN_SILENCE_MS, SILENCE_MS_EACH * this.clients.size);
   }
 
-  /** Monotonic ms at which a client is to hear the next word. */
-  private due(told: Told): number {
-    if (told.soon) return this.roundAt + ROUND_MS;
-    const ms = told.changes < this.changes ? this.paceMs() : this.silenceMs();
-    return Math.max(told.at + ms, this.roundAt + ROUND_MS);
+  /** Monotonic ms at which a client's next announcement is due. */
+  private dueAt(sent: Sent): number {
+    if (sent.soon) return this.roundAt + ROUND_MS;
+    const ms = sent.changes < this.changes ? this.intervalMs() : this.silenceMs();
+    return Math.max(sent.at + ms, this.roundAt + ROUND_MS);
   }
 
   /** Sets the timer for the next round. */
-  private plan(): void {
+  private schedule(): void {
     if (this.clients.size === 0) return;
     const now = this.clk.mono();
     let at = Infinity;
-    for (const told of this.clients.values()) at = Math.min(at, this.due(told));
+    for (const sent of this.clients.values()) at = Math.min(at, this.dueAt(sent));
     at = Math.max(at, now);
     if (this.timer && this.timerAt <= at) return;
     this.timer?.cancel();
     this.timerAt = at;
     this.timer = this.clk.after(at - now, () => {
       this.timer = undefined;
-      this.round();
-      this.plan();
+      this.runRound();
+      this.schedule();
     });
   }
 
-  /** Tells those whose turn it is. */
-  private round(): void {
+  /** Sends announcements to the entry daemons whose turn it is. */
+  private runRound(): void {
     const now = this.clk.mono();
-    const due = [...this.clients].filter(([, told]) => this.due(told) <= now);
+    const due = [...this.clients].filter(([, sent]) => this.dueAt(sent) <= now);
     // A timer may fire a little early.
     if (due.length === 0) return;
     this.roundAt = now;
-    const word = this.word();
-    for (const [c, told] of due) {
-      if (this.isNews(told, word, now)) this.say(c, told, word);
-      else this.clients.set(c, { ...told, changes: this.changes });
+    const announcement = this.compose();
+    for (const [c, sent] of due) {
+      if (this.isNews(sent, announcement, now)) this.announce(c, sent, announcement);
+      else this.clients.set(c, { ...sent, changes: this.changes });
     }
   }
 
-  /** Whether a word tells an entry daemon anything, be it that the engine's daemon is still there. */
-  private isNews(told: Told, word: Word, now: number): boolean {
-    if (told.soon || told.held < this.heldChanges || told.state !== word.state) return true;
-    return now - told.at >= this.silenceMs();
+  /** Whether an announcement is needed: it has news for the entry daemon, or must show that this daemon still runs. */
+  private isNews(sent: Sent, announcement: Announcement, now: number): boolean {
+    if (sent.soon || sent.held < this.heldChanges || sent.state !== announcement.state) return true;
+    return now - sent.at >= this.silenceMs();
   }
 
-  /** How things stand, as text. */
-  private word(): Word {
+  /** Encodes the current state and holdings. */
+  private compose(): Announcement {
     const held = this.holdings();
     const heldText = lines.encode(held);
     if (heldText !== this.heldText) {
@@ -192,33 +198,33 @@
     return { held, heldLines: new Map(), state: lines.encode(this.state(this.silenceMs())) };
   }
 
-  private say(c: Client, told: Told, word: Word): void {
-    const held = told.held < this.heldChanges ? this.heldLine(told.held, word) : "";
-    c.sendLine(held + word.state);
+  private announce(c: Client, sent: Sent, announcement: Announcement): void {
+    const held = sent.held < this.heldChanges ? this.heldLine(sent.held, announcement) : "";
+    c.sendLine(held + announcement.state);
     const at = this.clk.mono();
     const { changes, heldChanges } = this;
-    this.clients.set(c, { changes, held: heldChanges, at, soon: false, state: word.state });
+    this.clients.set(c, { changes, held: heldChanges, at, soon: false, state: announcement.state });
   }
 
-  /** The holdings for those who heard of them last at the count `since`. */
-  private heldLine(since: number, word: Word): string {
-    const known = word.heldLines.get(since);
-    if (known !== undefined) return known;
-    const left =
+  /** Encodes the holdings for entry daemons that last got them at the counter `since`. */
+  private heldLine(since: number, announcement: Announcement): string {
+    const cached = announcement.heldLines.get(since);
+    if (cached !== undefined) return cached;
+    const departed =
       since < 0
         ? [...this.recent()].reverse()
         : this.departures.filter((d) => d.held > since).map((d) => d.key);
-    const gone = [...new Set(left)].filter((key) => !word.held.resident.includes(key));
-    const line = lines.encode({ ...word.held, gone });
-    word.heldLines.set(since, line);
+    const gone = [...new Set(departed)].filter((key) => !announcement.held.resident.includes(key));
+    const line = lines.encode({ ...announcement.held, gone });
+    announcement.heldLines.set(since, line);
     return line;
   }
 }
 
-/** What is said in one round. */
-interface Word {
+/** The content of one round of announcements. */
+interface Announcement {
   readonly held: listing.Holdings;
-  /** The holdings as they stand on the wire, by the count of changes that their hearers know. */
+  /** Encoded holdings messages, by the counter of changes that their receivers have. */
   readonly heldLines: Map<number, string>;
   readonly state: string;
 }
--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -1,6 +1,6 @@
 /**
- * Which adapters an engine holds, who waits for which, and what to do next. Pure: the endpoint daemon
- * carries the actions out, and tests run the same code without an engine.
+ * State of an engine's slots and of the requests that wait for them, and the decisions made from it: which
+ * seat to grant and which order to send next. Pure; the engine manager carries the actions out.
  * @module
  */
 import * as popularity from "../endpoint/popularity.js";
@@ -14,77 +14,80 @@
   readonly adapter: string;
   readonly version: number;
   /**
-   * `loading` until the engine lists it. `unsure`: an order was not answered, so it counts as a slot
-   * taken and is not given out. `closing`: given out no more, and unloaded once nobody uses it.
+   * `loading`: a load was ordered, and the engine does not list the adapter as ready yet. `resident`: ready,
+   * and seats on it are granted. `closing`: no more seats are granted, and it is unloaded once nobody uses
+   * it. `unsure`: an unload was ordered and not confirmed, so the slot counts as taken, and no seats on it are granted.
    */
   readonly phase: "loading" | "resident" | "closing" | "unsure";
-  /** The engine took the order to load this version. */
+  /** Whether the engine accepted the order to load this version. */
   readonly accepted?: boolean;
-  /** Seats that use it. */
+  /** Number of granted seats that use it. */
   readonly pins: number;
   /** Monotonic ms of the last change of phase. */
   readonly since: number;
 }
 
 export interface Options {
-  /** Adapters held at once. */
+  /** Number of adapters that the engine can hold. */
   readonly slots: number;
-  /** Loads of adapters on their way at once, and those of them that are from the weight store. */
+  /** Loads of adapters in progress at the same time, at most. */
   readonly loads: number;
+  /** Loads from the weight store in progress at the same time, at most. */
   readonly coldLoads: number;
-  /** Whether an adapter loads from the memory of the engine's host. */
+  /** Whether an adapter is expected to load from the memory of the engine's host. */
   readonly isWarm: (key: string) => boolean;
-  /** Milliseconds that a waiter bears before an adapter in use is closed for it. */
+  /** Milliseconds that a request waits for a slot before an adapter in use is closed for it. */
   readonly closeAfterMs: number;
-  /** Milliseconds for which an outdated adapter in use is still given out. */
+  /** Milliseconds for which seats on an outdated version are still granted after the newer one is known. */
   readonly outdatedMs: number;
 }
 
-/** What an engine has to read already. */
+/** Prompts with granted seats that an engine still has to read. */
 export interface Reading {
-  /** Milliseconds that it will still read prompts that have seats. */
+  /** Estimated ms that it needs to read them. */
   readonly ms: number;
-  /** Prompts that have seats and no first event yet. */
+  /** Number of requests with granted seats that have no first event yet. */
   readonly unbegun: number;
 }
 
-/** An engine that reads nothing. */
+/** The prefill load of an idle engine. */
 export const IDLE: Reading = { ms: 0, unbegun: 0 };
 
 /**
- * Milliseconds before an engine has read what it has at which the next seat is given: about what its
- * grant takes to the entry daemon and the request to the engine, so that the engine is never idle
- * while somebody waits. More would put requests into the engine's own line, where a short or urgent
- * one cannot overtake a long one any more.
+ * The next seat is granted this many ms before the engine has read all its prompts. That is about the time
+ * that the grant takes to the entry daemon and the request to the engine, so the engine is never idle while
+ * a request waits. With a larger value, requests would wait in the engine's own queue, where a short or
+ * urgent one cannot overtake a long one any more.
  */
-const AHEAD_MS = 40;
-/** Prompts without a first event at most, for engines that are slower than they are believed to be. */
-const UNBEGUN = 8;
+const GRANT_AHEAD_MS = 40;
+/** Granted requests without a first event, at most; limits the load on engines that are slower than estimated. */
+const MAX_UNSTARTED = 8;
 
-/** The value that changes by the functions below. */
+/** State of one engine; an immutable value that the functions below derive the next one from. */
 export interface State {
   /** Base models that the engine holds. */
   readonly models: readonly string[];
   readonly slots: ReadonlyMap<string, Slot>;
   readonly waiting: readonly waiting.Waiter[];
-  /** Newest version of each adapter by key, with the monotonic ms at which it was learnt. */
+  /** Newest known version of each adapter by key; `at` is the monotonic ms at which it became known. */
   readonly newest: ReadonlyMap<string, { readonly version: number; readonly at: number }>;
+  /** How often each adapter was asked for lately; decides which one is evicted. */
   readonly heat: popularity.Popularity;
 }
 
-/** Half-life of an adapter's popularity: demand shifts within some seconds on the sites so far. */
+/** Half-life of an adapter's popularity in ms; demand shifts within some seconds. */
 const HALF_LIFE_MS = 10_000;
-/** Adapters whose popularity is remembered: many times what an engine holds. */
-const REMEMBERED = 256;
+/** Number of adapters whose popularity is kept, many times what an engine holds. */
+const TRACKED_ADAPTERS = 256;
 
-/** The state of an engine of which nothing is known. */
+/** The state of an engine about which nothing is known. */
 export function empty(): State {
   return {
     models: [],
     slots: new Map(),
     waiting: [],
     newest: new Map(),
-    heat: popularity.cold(HALF_LIFE_MS, REMEMBERED),
+    heat: popularity.cold(HALF_LIFE_MS, TRACKED_ADAPTERS),
   };
 }
 
@@ -105,25 +108,25 @@
   | { readonly kind: "unload"; readonly slot: Slot }
   | { readonly kind: "close"; readonly slot: Slot };
 
-function outdated(s: State, p: Slot): boolean {
+function isOutdated(s: State, p: Slot): boolean {
   return (s.newest.get(p.key)?.version ?? 0) > p.version;
 }
 
-/** Whether a slot may be given to one more seat. */
-function usable(s: State, p: Slot, now: number, opts: Options): boolean {
+/** Whether one more seat may be granted on a slot. */
+function isUsable(s: State, p: Slot, now: number, opts: Options): boolean {
   if (p.phase !== "resident") return false;
   const newest = s.newest.get(p.key);
   return !newest || newest.version <= p.version || now - newest.at < opts.outdatedMs;
 }
 
-/** Whether a waiter's adapter can be used now. */
+/** Whether a waiter's adapter, or its base model, can be used now. */
 function isReady(s: State, w: waiting.Waiter, now: number, opts: Options): boolean {
   if (w.adapter === undefined) return s.models.includes(w.model);
   const p = s.slots.get(w.key);
-  return p !== undefined && usable(s, p, now, opts);
+  return p !== undefined && isUsable(s, p, now, opts);
 }
 
-/** Seats to give and to take back at `now`, on an engine that has something to read already. */
+/** Returns the seats to grant and the ones to deny as expired at `now`; `engine` is its current prefill load. */
 export function seats(
   s: State,
   now: number,
@@ -134,7 +137,7 @@
   let { ms, unbegun } = engine;
   for (const w of waiting.inOrder(s.waiting, now)) {
     const ready = isReady(s, w, now, opts);
-    if (ready && ms <= AHEAD_MS && unbegun < UNBEGUN) {
+    if (ready && ms <= GRANT_AHEAD_MS && unbegun < MAX_UNSTARTED) {
       ms += w.ownMs;
       unbegun++;
       const version = w.adapter === undefined ? undefined : s.slots.get(w.key)?.version;
@@ -146,27 +149,27 @@
   return out;
 }
 
-/** Milliseconds until the engine can be given another prompt; undefined while none waits for that. */
+/** Milliseconds until the engine has room for another prompt; undefined if no waiter is ready for it. */
 export function readIn(s: State, now: number, opts: Options, engine: Reading): number | undefined {
   if (!s.waiting.some((w) => isReady(s, w, now, opts))) return undefined;
-  return Math.max(1, engine.ms - AHEAD_MS);
+  return Math.max(1, engine.ms - GRANT_AHEAD_MS);
 }
 
-/** The next order to the engine at `now`; orders are given one at a time. */
+/** Returns the next order for the engine, or slot to close, at `now`; orders are sent one at a time. */
 export function order(s: State, now: number, opts: Options): Action | undefined {
   const wanted = wantedKeys(s, now);
   const stale = staleIdle(s);
-  // What callers wait for goes first; an outdated adapter in no use is replaced ahead of its next use.
+  // Adapters that requests wait for go first; otherwise an unused outdated adapter is replaced before its next use.
   if (stale && (wanted.length === 0 || isWaitedFor(s, stale.key))) return load(s, stale);
   const loading = [...s.slots.values()].filter((p) => p.phase === "loading");
   const cold = loading.filter((p) => !opts.isWarm(p.key)).length;
-  const able = cold < opts.coldLoads ? wanted : wanted.filter((w) => opts.isWarm(w.key));
-  const [first] = able;
+  const allowed = cold < opts.coldLoads ? wanted : wanted.filter((w) => opts.isWarm(w.key));
+  const [first] = allowed;
   if (!first || loading.length >= opts.loads) return undefined;
   if (s.slots.size < opts.slots) return load(s, first);
-  const victim = idlest(s, now);
+  const victim = slotToEvict(s, now);
   if (victim) return { kind: "unload", slot: victim };
-  return closing(s, able, now, opts);
+  return slotToClose(s, allowed, now, opts);
 }
 
 function isWaitedFor(s: State, key: string): boolean {
@@ -178,22 +181,24 @@
   return { kind: "load", model: of.model, adapter: of.adapter, key: of.key, version };
 }
 
-/** An outdated adapter that nobody uses. */
+/** Finds an outdated adapter that no seat uses. */
 function staleIdle(s: State): Slot | undefined {
   for (const p of s.slots.values()) {
-    if (p.phase !== "loading" && p.phase !== "unsure" && p.pins === 0 && outdated(s, p)) return p;
+    if (p.phase !== "loading" && p.phase !== "unsure" && p.pins === 0 && isOutdated(s, p)) return p;
   }
   return undefined;
 }
 
+/** An adapter that requests wait for and that is in no slot. */
 interface Wanted {
   readonly key: string;
   readonly model: string;
   readonly adapter: string;
+  /** Monotonic ms at which its first waiter asked for a seat. */
   readonly since: number;
 }
 
-/** Adapters waited for that are in no slot, in the order of their first waiter. */
+/** Adapters that requests wait for and that are in no slot, in the serving order of their first waiter. */
 function wantedKeys(s: State, now: number): readonly Wanted[] {
   const out = new Map<string, Wanted>();
   for (const w of waiting.inOrder(s.waiting, now)) {
@@ -204,7 +209,7 @@
   return [...out.values()];
 }
 
-/** Places that another adapter could take at once, and adapters that wait for one. */
+/** Counts the slots that are free or could be emptied at once, and the adapters that wait for one. */
 export function room(s: State, slots: number): { readonly free: number; readonly wanted: number } {
   const waited = new Set(s.waiting.map((w) => w.key));
   const wanted = [...waited].filter((key) => !s.slots.has(key)).length;
@@ -214,19 +219,20 @@
 
 function isIdle(p: Slot, waited: ReadonlySet<string>): boolean {
   if (p.pins > 0) return false;
-  // One that is given out no more is emptied all the same; who waits for it has it loaded again.
+  // A closing adapter is unloaded even if requests wait for it; it is then loaded again for them.
   return p.phase === "closing" || (p.phase === "resident" && !waited.has(p.key));
 }
 
-/** The slot to empty first among those that nobody uses or waits for. */
-function idlest(s: State, now: number): Slot | undefined {
+/** The slot to evict first among those that no seat uses and no request waits for. */
+function slotToEvict(s: State, now: number): Slot | undefined {
   const waited = new Set(s.waiting.map((w) => w.key));
   const free = [...s.slots.values()].filter((p) => isIdle(p, waited));
   const closed = free.find((p) => p.phase === "closing");
-  return closed ?? coldest(s, free, now);
+  return closed ?? leastPopular(s, free, now);
 }
 
-function coldest(s: State, of: readonly Slot[], now: number): Slot | undefined {
+/** The slot of the least popular adapter among `of`. */
+function leastPopular(s: State, of: readonly Slot[], now: number): Slot | undefined {
   const key = popularity.coldest(
     s.heat,
     of.map((p) => p.key),
@@ -235,8 +241,8 @@
   return key === undefined ? undefined : s.slots.get(key);
 }
 
-/** An adapter in use to close, when some waiter has waited too long for a slot. */
-function closing(
+/** Chooses an adapter in use to close if requests have waited too long for a slot. */
+function slotToClose(
   s: State,
   wanted: readonly Wanted[],
   now: number,
@@ -244,15 +250,15 @@
 ): Action | undefined {
   const overdue = wanted.filter((w) => now - w.since >= opts.closeAfterMs).length;
   const slots = [...s.slots.values()];
-  const under = slots.filter((p) => p.phase === "closing" || p.phase === "unsure").length;
-  if (under >= overdue) return undefined;
+  const emptying = slots.filter((p) => p.phase === "closing" || p.phase === "unsure").length;
+  if (emptying >= overdue) return undefined;
   const waited = new Set(s.waiting.map((w) => w.key));
   const open = slots.filter((p) => p.phase === "resident" && p.pins > 0 && !waited.has(p.key));
-  const slot = coldest(s, open, now);
+  const slot = leastPopular(s, open, now);
   return slot && { kind: "close", slot };
 }
 
-/** Milliseconds from `now` until time alone makes something to do; undefined when it does not. */
+/** Milliseconds from `now` until the next timeout of a waiter or an outdated version; undefined if there is none. */
 export function wakeIn(s: State, now: number, opts: Options): number | undefined {
   const times = s.waiting.flatMap((w) => [w.dueAt - now, w.since + opts.closeAfterMs - now]);
   for (const p of s.slots.values()) {
@@ -263,30 +269,30 @@
   return ahead.length === 0 ? undefined : Math.min(...ahead);
 }
 
-/** Somebody asks for a seat. */
+/** Adds a request that waits for a seat. */
 export function ask(s: State, w: waiting.Waiter, now: number): State {
   const heat = popularity.hit(s.heat, w.key, 1, now);
   return { ...s, waiting: [...s.waiting, w], heat };
 }
 
-/** A seat is given or no longer asked for. */
+/** Removes the waiter of a seat that was granted, denied or given up. */
 export function answered(s: State, seat: string): State {
   return { ...s, waiting: s.waiting.filter((w) => w.seat !== seat) };
 }
 
-/** One seat more or less uses a slot. */
+/** Changes the number of seats that use a slot by one. */
 export function pin(s: State, key: string, by: 1 | -1): State {
   const p = s.slots.get(key);
   if (!p) return s;
   return put(s, { ...p, pins: Math.max(0, p.pins + by) });
 }
 
-/** Puts a slot as it is now known. */
+/** Adds or replaces a slot. */
 export function put(s: State, p: Slot): State {
   return { ...s, slots: new Map(s.slots).set(p.key, p) };
 }
 
-/** A load is ordered; the slot counts as taken from now on. */
+/** Records that a load is ordered; the slot counts as taken from now on. */
 export function loading(
   s: State,
   { key, model, adapter, version = 0 }: Extract<Action, { kind: "load" }>,
@@ -296,13 +302,13 @@
   return put(s, { key, model, adapter, version, phase: "loading", pins, since: now });
 }
 
-/** The engine took the order that {@link loading} noted. */
+/** Records that the engine accepted the order recorded by {@link startLoad}. */
 export function accepted(s: State, key: string): State {
   const p = s.slots.get(key);
   return p?.phase === "loading" ? put(s, { ...p, accepted: true }) : s;
 }
 
-/** A slot is known to be empty. */
+/** Removes a slot that is known to be empty. */
 export function drop(s: State, key: string): State {
   if (!s.slots.has(key)) return s;
   const slots = new Map(s.slots);
@@ -310,25 +316,25 @@
   return { ...s, slots };
 }
 
-/** A version was declared; older ones change nothing. */
+/** Records that a version was declared; ignored unless it is newer than the known one. */
 export function declare(s: State, key: string, version: number, now: number): State {
   if ((s.newest.get(key)?.version ?? 0) >= version) return s;
   return { ...s, newest: new Map(s.newest).set(key, { version, at: now }) };
 }
 
-/** An adapter that a report lists. */
+/** An adapter that an engine's report lists. */
 export interface Listed {
   readonly key: string;
   readonly model: string;
   readonly adapter: string;
   readonly version: number;
-  /** On its way in, and not yet to be used. */
+  /** Whether it is still loading and cannot be used yet. */
   readonly pending: boolean;
 }
 
 /**
- * The state after a report that was asked for at `askedAt`: what it lists is there. A slot that
- * changed after the question stays as it is; other slots that it does not list are empty.
+ * Updates the state from a report that was requested at `askedAt`. A slot that changed after the request stays
+ * as it is; all others are set to what the report lists, and removed if it does not list them.
  */
 export function reconcile(
   s: State,
@@ -336,20 +342,20 @@
   listed: readonly Listed[],
   askedAt: number,
 ): State {
-  let at: State = { ...s, models };
+  let next: State = { ...s, models };
   const seen = new Set(listed.map((l) => l.key));
   for (const p of s.slots.values()) {
-    if (!seen.has(p.key) && p.since < askedAt) at = drop(at, p.key);
+    if (!seen.has(p.key) && p.since < askedAt) next = drop(next, p.key);
   }
   for (const l of listed) {
     const p = s.slots.get(l.key);
     if (p && p.since >= askedAt) continue;
-    at = put(at, slotOf(l, p, askedAt));
+    next = put(next, slotOf(l, p, askedAt));
   }
-  return at;
+  return next;
 }
 
-/** The slots that were loading before and are there now, as they were before. */
+/** Returns the slots that were loading in `before` and are resident in `now`, as they were in `before`. */
 export function loaded(before: State, now: State): readonly Slot[] {
   return [...before.slots.values()].filter(
     (p) => p.phase === "loading" && now.slots.get(p.key)?.phase === "resident",
@@ -357,17 +363,19 @@
 }
 
 /**
- * Milliseconds for which an engine may go on listing an adapter's old version after it took the order
- * for the new one: it first ends its runs, and brings the new one from the store. Some times both.
+ * Milliseconds for which an engine may list an adapter's old version after it accepted the order for the new
+ * one. It first finishes the runs of the old version and loads the new one from the weight store; this is a few
+ * times as long as both take.
  */
-const REPLACED_WITHIN_MS = 3000;
+const REPLACE_TIMEOUT_MS = 3000;
 
-/** Whether an engine lists the version that it is about to replace. */
+/** Whether an engine lists an old version that it is about to replace. */
 function isBeingReplaced(l: Listed, p: Slot, now: number): boolean {
   if (p.phase !== "loading" || !p.accepted || l.version >= p.version) return false;
-  return now - p.since < REPLACED_WITHIN_MS;
+  return now - p.since < REPLACE_TIMEOUT_MS;
 }
 
+/** Builds the slot for a listed adapter; `p` is the slot as known before. */
 function slotOf(l: Listed, p: Slot | undefined, now: number): Slot {
   if (p && isBeingReplaced(l, p, now)) return p;
   const phase = l.pending ? "loading" : p?.phase === "closing" ? "closing" : "resident";
--- a/src/serving/warmth.ts
+++ b/src/serving/warmth.ts
@@ -1,18 +1,19 @@
 /**
- * Which adapters an engine still has in its host's memory, so that they load fast, and how long loads
- * take. Engines do not list these adapters, so the order in which adapters were held is remembered
- * here, and how many of the latest load fast is learnt from the loads. Pure.
+ * History of an engine's adapter loads: which adapters are probably still in its host's memory and load fast
+ * (warm), how long warm and cold loads take, and how many cold loads should run at the same time. Engines do
+ * not list the adapters in their host's memory, so this module keeps the order in which adapters were last held,
+ * and estimates from the load times how many of the latest are warm. Pure.
  * @module
  */
 
 export interface Warmth {
-  /** Adapters held before, the latest first. */
+  /** Adapters that the engine holds or held, the latest first. */
   readonly recent: readonly string[];
-  /** How many of these are taken to load fast. */
+  /** How many of these, from the start of the list, are expected to load fast. */
   readonly reach: number;
-  /** Milliseconds of the fastest load from the weight store lately; undefined until one was seen. */
+  /** Milliseconds of the fastest recent load from the weight store; undefined before the first. */
   readonly fastestMs: number | undefined;
-  /** Loads from the weight store that may be on their way at once, whole ones counting. */
+  /** Limit on concurrent loads from the weight store; rounded down where it is applied. */
   readonly limit: number;
   /** Smoothed milliseconds of loads from the weight store, and of loads from memory. */
   readonly coldMs: number;
@@ -20,102 +21,106 @@
 }
 
 /**
- * Reach until loads tell. It is guessed high: an adapter that is sent to the engine that held it last
- * and is not in its memory any more costs one load from the weight store, as it would elsewhere.
+ * Initial reach. The guess is high because a wrong one is cheap: a request that is sent to the engine that held
+ * its adapter last costs one load from the weight store if the adapter is not in memory any more, as it
+ * would on any other engine.
  */
-const FIRST_REACH = 100;
-/** Part of the reach that is left, at least, when an adapter within it did not load fast. */
-const SLOW_PART = 0.8;
-/** Adapters remembered. */
-const REMEMBERED = 400;
-/** Part of a load from the weight store below which one counts as from memory: some times as fast. */
-const FAST_PART = 0.4;
-/** Milliseconds of both kinds of load until some were seen; the first few outweigh them. */
-const FIRST_COLD_MS = 300;
-const FIRST_WARM_MS = 40;
-/** Weight of the latest load in the times that loads take. */
-const LATEST = 0.2;
-/** A load counts as this many times the usual at most, so that one odd load changes little. */
-const ODD = 4;
+const INITIAL_REACH = 100;
+/** When an adapter within the reach loads slowly, the reach shrinks at most to this fraction. */
+const MIN_REACH_FRACTION = 0.8;
+/** Number of adapters whose order is kept. */
+const MAX_RECENT = 400;
+/** A load counts as one from memory if it takes less than this fraction of a usual load from the weight store. */
+const WARM_FRACTION = 0.4;
+/** Initial estimates in ms of loads from the weight store and from memory; a few loads outweigh them. */
+const INITIAL_COLD_MS = 300;
+const INITIAL_WARM_MS = 40;
+/** Weight of the latest load in the smoothed load times. */
+const LATEST_WEIGHT = 0.2;
+/** A load time is capped at this multiple of the usual one, so that a single outlier changes little. */
+const OUTLIER_FACTOR = 4;
 
-/** Loads from the weight store that an engine has on their way at most. */
-const MOST_COLD = 4;
+/** Upper bound of the limit on concurrent loads from the weight store. */
+const MAX_COLD_LOADS = 4;
 /**
- * A load that takes so many times what the fastest one took is held up by others: more than looks at the
- * engine are apart, and less than what two loads in place of one make of it.
+ * A load that takes longer than this multiple of the fastest one counts as slowed down by other loads. The
+ * difference is more than the interval between polls of the engine, and less than the slowdown by a second
+ * concurrent load.
  */
 const SLOW_FACTOR = 1.4;
-/** By how much the fastest load is forgotten at each further one, for stores that have turned slow. */
-const FORGET = 1.01;
+/** Factor by which the fastest load time grows at each further load, to adapt to a store that became slower. */
+const FASTEST_GROWTH = 1.01;
 
+/** The history of an engine without loads yet: initial estimates only. */
 export const UNKNOWN: Warmth = {
   recent: [],
-  reach: FIRST_REACH,
+  reach: INITIAL_REACH,
   fastestMs: undefined,
   limit: 1,
-  coldMs: FIRST_COLD_MS,
-  warmMs: FIRST_WARM_MS,
+  coldMs: INITIAL_COLD_MS,
+  warmMs: INITIAL_WARM_MS,
 };
 
-/** The adapters that should load fast, the latest first. */
+/** Returns the adapters that are expected to load fast, the latest first. */
 export function warm(w: Warmth): readonly string[] {
   return w.recent.slice(0, w.reach);
 }
 
-/** Whether an adapter should load fast. */
+/** Whether an adapter is expected to load fast. */
 export function isWarm(w: Warmth, key: string): boolean {
-  const depth = w.recent.indexOf(key);
-  return depth >= 0 && depth < w.reach;
+  const pos = w.recent.indexOf(key);
+  return pos >= 0 && pos < w.reach;
 }
 
-/** The engine started anew: nothing is in its host's memory, and loads take as long as they did. */
+/** The history after the engine restarted: its host's memory holds no adapters, and the load times stay. */
 export function emptied(w: Warmth): Warmth {
   return { ...w, recent: [] };
 }
 
-/** An adapter was held just now. */
+/** Records that the engine holds, or until now held, an adapter. */
 export function held(w: Warmth, key: string): Warmth {
   return { ...w, recent: remember(w.recent, key) };
 }
 
-/** A list of adapters, the latest first, with `key` as the latest. */
+/** Moves `key` to the front of a list of adapters, or adds it there. */
 export function remember(recent: readonly string[], key: string): readonly string[] {
-  return [key, ...recent.filter((k) => k !== key).slice(0, REMEMBERED - 1)];
+  return [key, ...recent.filter((k) => k !== key).slice(0, MAX_RECENT - 1)];
 }
 
-/** An adapter was loaded in `tookMs`. */
+/** Records that an adapter was loaded in `tookMs`. */
 export function loaded(w: Warmth, key: string, tookMs: number): Warmth {
-  const depth = w.recent.indexOf(key);
-  if (depth < 0) return held(cold(w, tookMs), key);
-  if (tookMs < FAST_PART * w.coldMs) {
-    const reach = Math.max(w.reach, depth + 1);
+  const pos = w.recent.indexOf(key);
+  if (pos < 0) return held(recordCold(w, tookMs), key);
+  if (tookMs < WARM_FRACTION * w.coldMs) {
+    const reach = Math.max(w.reach, pos + 1);
     return held({ ...w, reach, warmMs: smoothed(w.warmMs, tookMs) }, key);
   }
-  const less = Math.max(1, depth, Math.floor(w.reach * SLOW_PART));
-  const reach = Math.min(w.reach, less);
-  return held({ ...cold(w, tookMs), reach }, key);
+  const shrunk = Math.max(1, pos, Math.floor(w.reach * MIN_REACH_FRACTION));
+  const reach = Math.min(w.reach, shrunk);
+  return held({ ...recordCold(w, tookMs), reach }, key);
 }
 
-/** A load from the weight store took `tookMs`. */
-function cold(w: Warmth, tookMs: number): Warmth {
-  const fastestMs = Math.min(tookMs, FORGET * (w.fastestMs ?? Infinity));
+/** Records a load from the weight store that took `tookMs`, and adjusts the limit on concurrent ones. */
+function recordCold(w: Warmth, tookMs: number): Warmth {
+  const fastestMs = Math.min(tookMs, FASTEST_GROWTH * (w.fastestMs ?? Infinity));
   const isSlow = tookMs > SLOW_FACTOR * fastestMs;
-  const limit = isSlow ? Math.max(1, w.limit / 2) : Math.min(MOST_COLD, w.limit + 1 / w.limit);
+  const limit = isSlow ? Math.max(1, w.limit / 2) : Math.min(MAX_COLD_LOADS, w.limit + 1 / w.limit);
   return { ...w, fastestMs, limit, coldMs: smoothed(w.coldMs, tookMs) };
 }
 
 /**
- * Loads from the weight store that an engine should have on their way. The load that this answers is all
- * engines loading at once, after a power cut or when traffic starts: beyond what the store serves at full
- * speed all loads take longer in proportion, so that those who wait get their adapters all late together
- * in place of one after the other. Nobody counts the loads of all engines, so each slows down by what its
- * own loads take, as congestion control by delay does it: one more for each round of loads that were fast,
- * half as many after one that was slow.
+ * Returns how many loads from the weight store an engine should have in progress at the same time.
+ *
+ * This is for the case that all engines load at once, after a power failure or when traffic starts. Beyond the
+ * number of loads that the store serves at full speed, all loads take longer in proportion, and all requests
+ * get their adapters late together instead of one after the other. The total over all engines is not known
+ * anywhere, so each engine adapts to its own load times, as in delay-based congestion control: the limit
+ * grows by one for each round of fast loads, and is halved after a slow one.
  */
 export function coldAtOnce(w: Warmth): number {
   return Math.floor(w.limit);
 }
 
 function smoothed(usual: number, latest: number): number {
-  return usual + (Math.min(latest, ODD * usual) - usual) * LATEST;
+  return usual + (Math.min(latest, OUTLIER_FACTOR * usual) - usual) * LATEST_WEIGHT;
 }
