--- a/src/serving/base-model.ts
+++ b/src/serving/base-model.ts
@@ -1,5 +1,5 @@
 /**
- * Which base model an engine that has none should load, and when. Pure but for what it remembers.
+ * Decides which base model an engine without one should load, and when. Keeps state, but does no I/O.
  * @module
  */
 import type * as catalog from "./catalog.js";
@@ -7,16 +7,20 @@
 type Model = catalog.EngineSpec["models"][number];
 
 export class BaseModel {
-  private askedAt = -Infinity;
-  /** Base models that the engine loads from its own memory or disk. */
-  private nearby: readonly string[] = [];
+  /** Monotonic ms of the last order to load a base model. */
+  private orderedAt = -Infinity;
+  /** Base models that the engine can load from its own memory or disk. */
+  private localModels: readonly string[] = [];
 
-  /** The engine says which base models it loads without the weight store. */
-  heard(nearby: readonly string[]): void {
-    this.nearby = nearby;
+  /** Sets the base models that the engine can load without the weight store, as it reports. */
+  heard(localModels: readonly string[]): void {
+    this.localModels = localModels;
   }
 
-  /** The model to load at `now`, on the monotonic clock in ms; undefined while there is nothing to do. */
+  /**
+   * Returns the model to load at `now` (monotonic ms); undefined if the engine holds one, if none is configured, or
+   * while the last order may still be in progress.
+   */
   wanted(
     spec: catalog.EngineSpec | undefined,
     held: readonly string[],
@@ -24,16 +28,16 @@
   ): Model | undefined {
     const first = spec?.models[0];
     if (!first || held.length > 0) return undefined;
-    return this.askedAt + first.loadMs > now ? undefined : first;
+    return this.orderedAt + first.loadMs > now ? undefined : first;
   }
 
-  /** Whether a load takes a turn at the weight store; what the engine has itself needs none. */
+  /** Whether a load needs a turn at the weight store; a model that the engine has locally needs none. */
   needsTurn(m: Model): boolean {
-    return !this.nearby.includes(m.name);
+    return !this.localModels.includes(m.name);
   }
 
-  /** A load was ordered at `now`. */
+  /** Records that a load was ordered at `now` (monotonic ms). */
   asked(now: number): void {
-    this.askedAt = now;
+    this.orderedAt = now;
   }
 }
--- a/src/serving/endpoint-host.ts
+++ b/src/serving/endpoint-host.ts
@@ -1,6 +1,6 @@
 /**
- * Puts an endpoint daemon together and runs it: the keeper of the engine beside it, the door for
- * entry daemons, and the feed.
+ * Assembles and runs an endpoint daemon: the manager of the engine on its host, the server for entry daemons, and
+ * the configuration feed.
  * @module
  */
 import * as clock from "../host/clock.js";
@@ -17,11 +17,11 @@
 import * as relay from "./relay.js";
 
 export interface Options {
-  /** `ip:port` for entry daemons. */
+  /** `ip:port` to listen at for entry daemons. */
   readonly seats: string;
-  /** Service of the engine beside this daemon. */
+  /** Name of the service that the engine belongs to. */
   readonly service: string;
-  /** Milliseconds after which a declared version must be the only one in use. */
+  /** Milliseconds after its declaration from which a version must be the only one in use. */
   readonly versionMs: number;
 }
 
@@ -29,29 +29,29 @@
   readonly engine: engine.Engine;
 }
 
-/** Key under which turns to load a base model are claimed in the store. */
-const TURNS = "sumacfield/turns/";
-/** Milliseconds for which a turn is taken: the store's shortest lease. */
-const TURN_MS = 1000;
-/** Milliseconds until the next try for a turn. */
+/** Key prefix in the store under which daemons claim turns to load a base model. */
+const TURNS_PREFIX = "sumacfield/turns/";
+/** Milliseconds for which a turn is claimed: the store's shortest lease. */
+const TURN_LEASE_MS = 1000;
+/** Minimum ms until the next attempt to claim a turn; a random part of up to as much is added. */
 const TURN_RETRY_MS = 150;
-/** Milliseconds between looks for the first configuration. */
-const LOOK_MS = 20;
+/** Milliseconds between checks for the first configuration. */
+const CONFIG_POLL_MS = 20;
 
-/** Starts the daemon; resolves once it listens. */
+/** Starts the daemon; resolves when it listens. */
 export async function start(
   opts: Options,
   deps: Deps,
 ): Promise<{ readonly stop: () => Promise<void> }> {
-  const figures = meters.open();
+  const registry = meters.open();
   const lg = deps.log("keeper");
   const notices = new noticeRelay.NoticeRelay(deps.clock, () => {
-    kept.noticed();
+    manager.noticed();
   });
   const fed = host.openFeed(deps, feed.LOOSE, () => {
-    kept.heard();
+    manager.heard();
   });
-  const kept = new keeper.Keeper({
+  const manager = new keeper.Keeper({
     clock: deps.clock,
     log: lg,
     engine: deps.engine,
@@ -62,35 +62,36 @@
     notices,
   });
   const limiter = new limiterPlace.LimiterPlace({ clock: deps.clock, log: deps.log("limiter") });
-  const door = await desk.open(opts.seats, {
+  const server = await desk.open(opts.seats, {
     log: deps.log("desk"),
-    keeper: kept,
+    keeper: manager,
     relay: new relay.Relay({ clock: deps.clock, log: deps.log("suspicion") }),
     limiter,
     notices,
   });
-  await meters.tryServe(figures, deps.metricsAddress, deps.log("metrics"));
-  figures.gauge("sumacfield_seats", "Seats given or asked for.", () => kept.count());
-  figures.gauge("sumacfield_totals_kept", "Totals over all hosts kept here.", () => limiter.size);
+  await meters.tryServe(registry, deps.metricsAddress, deps.log("metrics"));
+  registry.gauge("sumacfield_seats", "Seats given or asked for.", () => manager.count());
+  registry.gauge("sumacfield_totals_kept", "Totals over all hosts kept here.", () => limiter.size);
   void fed.run();
-  void waitForConfig(deps, fed).then(() => kept.run());
+  void waitForConfig(deps, fed).then(() => manager.run());
   return {
     stop: () => {
-      door.close();
-      kept.stop();
+      server.close();
+      manager.stop();
       fed.stop();
       return Promise.resolve();
     },
   };
 }
 
+/** Waits until the feed has a first configuration. */
 async function waitForConfig(deps: Deps, fed: feed.Feed): Promise<void> {
-  while (!fed.catalog.config) await clock.sleep(deps.clock, LOOK_MS);
+  while (!fed.catalog.config) await clock.sleep(deps.clock, CONFIG_POLL_MS);
 }
 
 /**
- * Takes one of the turns that the weight store allows a second, as a key in the store that lapses
- * by itself. False while none is to be had.
+ * Claims one of the turns to load a base model from the weight store; the configuration allows a number of them
+ * per second. A turn is a key in the store with a lease. Returns false, after a delay, if no turn is free.
  */
 async function takeTurn(
   opts: Options,
@@ -99,15 +100,15 @@
   lg: record.Log,
 ): Promise<boolean> {
   const perS = fed.catalog.config?.services.get(opts.service)?.engine?.loadsPerS ?? 1;
-  const turns = Math.max(1, Math.floor(perS));
-  const first = Math.floor(deps.random() * turns);
+  const turnsPerS = Math.max(1, Math.floor(perS));
+  const first = Math.floor(deps.random() * turnsPerS);
   try {
-    for (let i = 0; i < turns; i++) {
-      const key = `${TURNS}${opts.service}/${(first + i) % turns}`;
-      if (await deps.source.claim(key, TURN_MS)) return true;
+    for (let i = 0; i < turnsPerS; i++) {
+      const key = `${TURNS_PREFIX}${opts.service}/${(first + i) % turnsPerS}`;
+      if (await deps.source.claim(key, TURN_LEASE_MS)) return true;
     }
   } catch (err) {
-    lg.warn("A turn to load a model could not be taken.", { why: errors.why(err) });
+    lg.warn("Could not claim a turn to load a base model.", { why: errors.why(err) });
   }
   await clock.sleep(deps.clock, TURN_RETRY_MS * (1 + deps.random()));
   return false;
--- a/src/serving/engine.ts
+++ b/src/serving/engine.ts
@@ -1,71 +1,72 @@
 /**
- * The port from an endpoint daemon to the engine on its host.
+ * The interface through which an endpoint daemon talks to the engine on its host.
  * @module
  */
 import type * as notices from "./notices.js";
 
-/** An adapter as an engine lists it. */
+/** An adapter that an engine lists. */
 export interface Held {
   readonly adapter: string;
   readonly version: number;
 }
 
-/** What an engine says of itself. */
+/** An engine's report of its state. */
 export interface Report {
-  /** Base models held, each with its adapters. */
+  /** Base models that it holds, each with its adapters. */
   readonly models: readonly {
     readonly name: string;
     readonly version: number;
     readonly adapters: readonly Held[];
   }[];
-  /** Base models that load from the engine's own memory or disk, without the weight store. */
+  /** Base models that it can load from its own memory or disk, without the weight store. */
   readonly nearby: readonly string[];
-  /** Adapters on their way in. */
+  /** Adapters that are being loaded. */
   readonly pending: readonly (Held & { readonly model: string })[];
-  /** What the answer that holds this report says of the engine besides. */
+  /** Notices in the headers of the answer with this report. */
   readonly notice: notices.Notice;
-  /** A change of base models is under way. */
+  /** Whether a change of base models is in progress. */
   readonly busy: boolean;
-  /** Unix ms of the engine's start, where it tells it. */
+  /** Unix ms of the engine's start; undefined if the engine does not report it. */
   readonly born?: number | undefined;
-  /** Orders accepted since the engine started. */
+  /** Number of orders accepted since the engine started. */
   readonly sequence: number;
+  /** Requests in the engine's queue, and in its batch. */
   readonly queued: number;
   readonly active: number;
 }
 
-/** A change of what an engine holds. */
+/** An order to an engine to load or unload a base model or an adapter. */
 export interface Order {
   readonly kind: "load" | "unload";
   readonly model: string;
-  /** Left out for the base model itself. */
+  /** Undefined if the order is for the base model itself. */
   readonly adapter?: string | undefined;
   readonly version?: number | undefined;
-  /** The order counts only while the engine has accepted this many. */
+  /** The engine accepts the order only if it has accepted this many orders before. */
   readonly sequence: number;
-  /** The order counts only for this incarnation. */
+  /** The engine accepts the order only if it is this incarnation. */
   readonly instance: string;
   /** Fencing number. */
   readonly epoch: number;
-  /** Milliseconds that the answer is awaited. */
+  /** Timeout for the answer, in ms. */
   readonly waitMs: number;
 }
 
-/** What became of an order. */
+/** The result of an order. */
 export type OrderResult =
-  /** It is being carried out, or is done. */
+  /** The engine accepted it; `done` if it has also carried it out. */
   | { readonly kind: "accepted"; readonly done: boolean }
-  /** Another order came first; what the engine holds must be read again. */
+  /** The sequence number is wrong or the engine is busy with another order; it must be polled again. */
   | { readonly kind: "conflict" }
   /** The fencing number is too low. */
   | { readonly kind: "fenced" }
-  /** Another incarnation is there now. */
+  /** The engine is now another incarnation. */
   | { readonly kind: "moved"; readonly instance: string | undefined }
   | { readonly kind: "refused"; readonly status: number }
-  /** No answer; it may still be carried out while the sequence stands. */
+  /** No answer; the engine may still carry the order out as long as its sequence number stays the same. */
   | { readonly kind: "unanswered"; readonly why: string };
 
-/** An engine turned a question away, and wants none for a while. */
+/** The engine refused to answer, and asks for a pause before the next question. */
 export class PauseError extends Error {
   constructor(readonly forMs: number) {
     super(`the engine asks for a pause of ${forMs} ms`);
@@ -73,9 +74,10 @@
 }
 
 export interface Engine {
-  /** Throws when the engine does not answer, and a {@link PauseError} when it asks for a pause. */
+  /** Throws if the engine does not answer; throws a {@link PauseError} if it asks for a pause. */
   readonly report: () => Promise<Report>;
+  /** Sends an order; resolves to its result, also when there is no answer. */
   readonly order: (o: Order) => Promise<OrderResult>;
-  /** The name of the worker that is there now. Throws when the engine does not tell, as for a report. */
+  /** Returns the name of the worker that runs now; throws as `report` does. */
   readonly identify: (healthPath: string) => Promise<string>;
 }
--- a/src/serving/lines.ts
+++ b/src/serving/lines.ts
@@ -1,55 +1,55 @@
 /**
- * JSON messages over TCP, one a line, checked against a schema as they come.
+ * JSON messages over TCP, one per line, each validated against a schema when it arrives.
  * @module
  */
 import type * as net from "node:net";
 import type * as zod from "zod";
 
-/** A line longer than this comes from no daemon of ours: the longest message lists some 50 adapters. */
+/** Maximum length of a line in characters; the longest message lists some 50 adapters and is far shorter. */
 const LINE_LIMIT = 262_144;
-/** Unsent bytes at which a peer counts as stuck, and the connection is closed. */
+/** Number of unsent bytes above which a peer counts as stuck and the connection is closed. */
 const UNSENT_LIMIT = 1_048_576;
 
-/** Milliseconds of silence after which the peer's host is probed, ten times within as many seconds. */
+/** Milliseconds of silence after which TCP keep-alive probes the peer's host, ten times within ten seconds. */
 const KEEP_ALIVE_MS = 1000;
 
 export interface Handlers<In> {
   readonly message: (m: In) => void;
-  /** The connection is over; `why` tells what ended it, and `byPeer` that its other side knows. */
+  /** The connection is closed. `why` says what ended it; `byPeer` is true if the peer or its host closed it. */
   readonly closed: (why: string, byPeer: boolean) => void;
 }
 
-/** One connection, as either side has it. */
+/** This side of a connection. */
 export interface Channel<Out> {
   readonly send: (m: Out) => void;
-  /** Sends a message that is encoded already, as {@link encode} does. */
+  /** Sends messages already encoded by {@link encode}. */
   readonly sendLine: (line: string) => void;
   readonly close: () => void;
 }
 
-/** One message as it stands on the wire. */
+/** Encodes one message for the wire. */
 export function encode(m: object): string {
   return `${JSON.stringify(m)}\n`;
 }
 
-/** Takes a socket over. Anything that is no message of `schema` ends the connection. */
+/** Sends and receives messages on a socket. A message that does not match `schema` ends the connection. */
 export function channel<In, Out extends object>(
   socket: net.Socket,
   schema: zod.ZodType<In>,
   on: Handlers<In>,
 ): Channel<Out> {
   let rest = "";
-  let why = "the peer closed";
+  let why = "closed by peer";
   let byPeer = true;
   socket.setNoDelay(true);
-  // A host without power says nothing; without this, its seats would be held for good.
+  // A host that lost power closes no connections; without keep-alive its seats would be held forever.
   socket.setKeepAlive(true, KEEP_ALIVE_MS);
   socket.setEncoding("utf8");
   socket.on("data", (chunk: string) => {
     const lines = (rest + chunk).split("\n");
     rest = lines.pop() ?? "";
     if (rest.length > LINE_LIMIT) {
-      why = "a line was too long";
+      why = "line too long";
       socket.destroy();
       return;
     }
@@ -57,7 +57,7 @@
       try {
         on.message(schema.parse(JSON.parse(line)));
       } catch (err) {
-        why = `a message could not be read: ${err instanceof Error ? err.message : String(err)}`;
+        why = `invalid message: ${err instanceof Error ? err.message : String(err)}`;
         socket.destroy();
         return;
       }
@@ -73,7 +73,7 @@
   const sendLine = (line: string): void => {
     if (socket.destroyed) return;
     if (socket.writableLength > UNSENT_LIMIT) {
-      why = "the peer reads no more";
+      why = "peer stopped reading";
       socket.destroy();
       return;
     }
@@ -85,7 +85,7 @@
     },
     sendLine,
     close: () => {
-      why = "closed here";
+      why = "closed locally";
       byPeer = false;
       socket.destroy();
     },
--- a/src/serving/listing.ts
+++ b/src/serving/listing.ts
@@ -1,6 +1,6 @@
 /**
- * Between an engine's report, the endpoint daemon's own state, and what entry daemons are told of it.
- * Pure.
+ * Converts engine reports for the endpoint daemon's state, and that state into the messages that entry daemons
+ * get. Pure.
  * @module
  */
 import * as backlog from "./backlog.js";
@@ -12,7 +12,7 @@
 import type * as seat from "./seat.js";
 import type * as warmth from "./warmth.js";
 
-/** Decimals that are told of the milliseconds a token takes, and of the part of runs that fail. */
+/** Decimals of `msPerToken` and of `failing` in state messages. */
 const TOKEN_DECIMALS = 4;
 const FAILING_DECIMALS = 2;
 
@@ -21,44 +21,45 @@
   return { key: catalog.adapterKey(model, adapter), model, adapter, version, pending };
 }
 
-/** The adapters that a report lists, those on their way in included. */
+/** Returns the adapters that a report lists, including those that are being loaded. */
 export function adapters(report: engine.Report): readonly residency.Listed[] {
-  const there = report.models.flatMap((m) => m.adapters.map((a) => listed(m.name, a, false)));
-  const coming = report.pending.map((p) => listed(p.model, p, true));
-  return [...there, ...coming];
+  const held = report.models.flatMap((m) => m.adapters.map((a) => listed(m.name, a, false)));
+  const loading = report.pending.map((p) => listed(p.model, p, true));
+  return [...held, ...loading];
 }
 
-/** What entry daemons are told of the adapters that an engine holds, and how many others load fast. */
+/** What an engine holds, as in the message to entry daemons but without the adapters that left. */
 export type Holdings = Omit<seat.Holdings, "gone">;
 
+/** Builds the holdings message; `reach` is how many of the latest adapters load fast. */
 export function holdings(s: residency.State, reach: number): Holdings {
-  const usable = [...s.slots.values()].filter(
+  const available = [...s.slots.values()].filter(
     (p) => p.phase === "resident" || p.phase === "loading",
   );
-  return { kind: "holdings", models: s.models, resident: usable.map((p) => p.key), reach };
+  return { kind: "holdings", models: s.models, resident: available.map((p) => p.key), reach };
 }
 
-/** What an endpoint daemon knows of its engine. */
+/** All that an endpoint daemon knows about its engine, at one time. */
 export interface Known {
   readonly instance: string;
   readonly seats: ledger.Ledger;
   readonly held: residency.State;
   readonly warmth: warmth.Warmth;
-  /** Adapters that the engine holds at once. */
+  /** Number of adapters that the engine can hold. */
   readonly slots: number;
-  /** Monotonic ms. */
+  /** Monotonic ms of this view. */
   readonly now: number;
 }
 
-/** Estimated milliseconds until a place for another adapter is free, when each is used `eachMs`. */
+/** Estimated ms until a slot for another adapter is free, if a slot becomes free every `eachMs`. */
 export function slotMs(held: residency.State, slots: number, eachMs: number): number {
   const { free, wanted } = residency.room(held, slots);
   return free > wanted ? 0 : (wanted - free + 1) * eachMs;
 }
 
 /**
- * Estimated milliseconds until a prompt that arrives now is begun, for the rank given; `isHeld` says whether
- * its adapter has a place.
+ * Estimated ms until the engine starts on a prompt of rank `rank` that arrives now; `isHeld` says whether its
+ * adapter is in a slot.
  */
 export function waitMs(k: Known, rank: number, isHeld: boolean): number {
   const queueMs = k.seats.waits(k.now)[backlog.place(rank)] ?? 0;
@@ -66,18 +67,18 @@
 }
 
 /**
- * How busy an engine is, as entry daemons are told: `entries` of them are connected, and the next word comes
+ * Builds the state message. `entries` is the number of connected entry daemons; the next announcement follows
  * within `silenceMs`.
  */
 export function state(k: Known, entries: number, silenceMs: number): seat.State {
-  const { reading: learnt } = k.seats;
+  const { reading: speed } = k.seats;
   const eachSlotMs = k.seats.holdMs / k.slots;
   return {
     kind: "state",
     instance: k.instance,
     waitMs: k.seats.waits(k.now),
-    msPerToken: Number(reading.msPerToken(learnt).toFixed(TOKEN_DECIMALS)),
-    firstMs: Math.round(reading.firstMs(learnt)),
+    msPerToken: Number(reading.msPerToken(speed).toFixed(TOKEN_DECIMALS)),
+    firstMs: Math.round(reading.firstMs(speed)),
     slotMs: Math.round(slotMs(k.held, k.slots, eachSlotMs)),
     eachSlotMs: Math.round(eachSlotMs),
     coldMs: Math.round(k.warmth.coldMs),
--- a/src/serving/orders.ts
+++ b/src/serving/orders.ts
@@ -1,36 +1,40 @@
 /**
- * Gives orders to an engine, one at a time. Each is bound to the engine's incarnation and to the count of
- * orders that it has taken, so that one that is carried out late changes nothing that was decided since.
+ * Sends orders to an engine, one at a time. Each is bound to the engine's incarnation and to its sequence number,
+ * the count of orders that it has accepted, so that an order that arrives late cannot undo a later decision.
  * @module
  */
 import type * as clock from "../host/clock.js";
 import type * as record from "../host/record.js";
 import type * as engine from "./engine.js";
 
-/** What an order changes. */
+/** The change of an engine's models or adapters that an order asks for. */
 export type Change = Pick<engine.Order, "kind" | "model" | "adapter" | "version">;
 
 /**
- * Milliseconds that an answer is awaited, at least and at most, and as a multiple of what answers usually
- * take. An engine answers at once from its own host; what takes far longer is lost, and while it is awaited no adapter that callers
- * wait for is ordered. An order that is given again is harmless.
+ * Minimum and maximum of the timeout for the answer to an order, in ms. An engine on the same host answers at
+ * once, so an answer that takes far longer is lost; until the timeout, no other adapter that requests wait for
+ * can be ordered. Sending an order again is harmless.
  */
-const LEAST_MS = 25;
-const MOST_MS = 90;
-const USUAL_FACTOR = 8;
-/** Weight of the latest answer in what they usually take. */
-const LATEST = 0.1;
+const MIN_TIMEOUT_MS = 25;
+const MAX_TIMEOUT_MS = 90;
+/** The timeout as a multiple of the usual time of an answer, within these bounds. */
+const TIMEOUT_FACTOR = 8;
+/** Weight of the latest answer in the usual time of an answer. */
+const LATEST_WEIGHT = 0.1;
 /**
- * Milliseconds until the next order after the engine refused one though the count was right: it is still
- * busy with another, such as a replacement that waits for the runs of the old version.
+ * Milliseconds until the next order after the engine refused one with the right sequence number. It is then
+ * still busy with another order, such as a replacement that waits for the runs of the old version.
  */
 const BUSY_MS = 25;
 
 export class Orders {
-  /** Orders taken, as the engine last said, and with those that it took since. */
-  private said = 0;
-  private expected = 0;
-  private usualMs = MOST_MS / USUAL_FACTOR;
+  /** Sequence number in the engine's last report. */
+  private reportedSequence = 0;
+  /** That number and the orders that the engine accepted since. */
+  private expectedSequence = 0;
+  /** Smoothed ms until the engine answers an order. */
+  private usualAnswerMs = MAX_TIMEOUT_MS / TIMEOUT_FACTOR;
+  /** Monotonic ms until which the engine is taken to be busy with another order. */
   private busyUntil = -Infinity;
 
   constructor(
@@ -39,33 +43,36 @@
     private readonly engine: engine.Engine,
   ) {}
 
-  /** Another incarnation of the engine is there, or none. */
+  /** Forgets the sequence number; called when the engine is lost or another incarnation of it is found. */
   reset(): void {
-    this.said = 0;
-    this.expected = 0;
+    this.reportedSequence = 0;
+    this.expectedSequence = 0;
     this.busyUntil = -Infinity;
   }
 
-  /** The engine says how many orders it took; false when it must have started anew. */
+  /** Takes over the sequence number of a report; returns false if it fell, as the engine must have restarted. */
   heard(sequence: number): boolean {
-    if (sequence < this.said) return false;
-    this.said = sequence;
-    this.expected = sequence;
+    if (sequence < this.reportedSequence) return false;
+    this.reportedSequence = sequence;
+    this.expectedSequence = sequence;
     return true;
   }
 
-  /** Milliseconds from `now` for which the engine takes no order. */
+  /** Milliseconds from `now` for which no order should be sent, since the engine is busy with another. */
   busyMs(now: number): number {
     return Math.max(0, this.busyUntil - now);
   }
 
-  /** Gives one order to the incarnation `instance`, with the fencing number `epoch`. */
+  /** Sends one order to the incarnation `instance`, with the fencing number `epoch`. */
   async give(change: Change, instance: string, epoch: number): Promise<engine.OrderResult> {
-    const began = this.clk.mono();
-    const sequence = this.expected;
-    const waitMs = Math.min(MOST_MS, Math.max(LEAST_MS, USUAL_FACTOR * this.usualMs));
+    const sentAt = this.clk.mono();
+    const sequence = this.expectedSequence;
+    const waitMs = Math.min(
+      MAX_TIMEOUT_MS,
+      Math.max(MIN_TIMEOUT_MS, TIMEOUT_FACTOR * this.usualAnswerMs),
+    );
     const result = await this.engine.order({ ...change, instance, sequence, epoch, waitMs });
-    const tookMs = this.clk.mono() - began;
+    const tookMs = this.clk.mono() - sentAt;
     this.log.info("An order was given.", {
       order: change.kind,
       model: change.model,
@@ -76,22 +83,23 @@
       tookMs,
       result: result.kind,
     });
-    if (result.kind !== "unanswered") this.usualMs += (tookMs - this.usualMs) * LATEST;
+    if (result.kind !== "unanswered")
+      this.usualAnswerMs += (tookMs - this.usualAnswerMs) * LATEST_WEIGHT;
     return result;
   }
 
-  /** The engine took an order just now; a wrong guess is refused, and the engine read again. */
+  /** Counts an accepted order. If the count is wrong, the engine refuses the next order, and is polled again. */
   taken(): void {
-    this.expected++;
+    this.expectedSequence++;
   }
 
-  /** The engine refused an order for the count `sequence`, and was read since. */
+  /** Records that the engine refused an order with this sequence number, and was polled since. */
   refused(sequence: number): void {
-    if (this.expected === sequence) this.busyUntil = this.clk.mono() + BUSY_MS;
+    if (this.expectedSequence === sequence) this.busyUntil = this.clk.mono() + BUSY_MS;
   }
 
-  /** The count that binds the next order. */
+  /** Sequence number of the next order. */
   get count(): number {
-    return this.expected;
+    return this.expectedSequence;
   }
 }
--- a/src/serving/probe.ts
+++ b/src/serving/probe.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the engine beside an endpoint daemon which worker it is and what it holds, when that is due.
+ * Polls the engine on the endpoint daemon's host: which worker it is, and what it holds.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -10,34 +10,36 @@
 import type * as residency from "./residency.js";
 import type * as warmth from "./warmth.js";
 
-/** Milliseconds until the next try after an engine did not answer. */
+/** Milliseconds until the next poll after the engine did not answer. */
 const RETRY_MS = 100;
-/** Questions in a row without an answer after which the engine counts as out. */
-const MISSES = 2;
-/** Questions in a row without an answer from one word of that to the next. */
-const TOLD_EVERY = 100;
+/** Number of consecutive polls without an answer after which the engine counts as out. */
+const MISSES_UNTIL_OUT = 2;
+/** While the engine stays out, it is reported as out again once in this many polls. */
+const REPORT_OUT_EVERY = 100;
 
-/** What came of asking. */
+/** The result of one poll. */
 export type Finding =
   | {
       readonly kind: "report";
-      /** The name of the worker, where that was asked for. */
+      /** The worker's name; undefined if it was not asked for. */
       readonly name: string | undefined;
       readonly report: engine.Report;
-      /** Monotonic ms at which it was asked. */
+      /** Monotonic ms at which the report was requested. */
       readonly askedAt: number;
-      /** What the answer says of the engine besides. */
+      /** The notices in the answer's headers, with the times of the request and the answer. */
       readonly answer: availability.Answer;
     }
-  /** No answer; `isOut` once it counts as out, and then now and again. */
+  /** No answer. `isOut` is true when the engine begins to count as out, and now and again while it stays so. */
   | { readonly kind: "missed"; readonly why: string; readonly isOut: boolean }
-  /** It asked to be left alone for a while. */
+  /** The engine asked for a pause of `forMs`. */
   | { readonly kind: "paused"; readonly forMs: number };
 
 export class Probe {
+  /** Consecutive polls without an answer. */
   private misses = 0;
+  /** Monotonic ms of the last poll; -Infinity makes the next one due at once. */
   private askedAt = -Infinity;
-  /** Steady ms until which the engine wants to be asked nothing. */
+  /** Steady ms until which the engine must not be polled, as it asked for a pause. */
   private pausedUntil = -Infinity;
 
   constructor(
@@ -45,13 +47,13 @@
     private readonly engine: engine.Engine,
   ) {}
 
-  /** Milliseconds until the next question about an engine in the state given; at once where it is not known. */
+  /** Milliseconds until the next poll; 0 if the engine is not known (`isKnown`), unless it asked for a pause. */
   dueInMs(isKnown: boolean, s: residency.State, w: warmth.Warmth): number {
     const dueInMs = isKnown ? looks.next(s, w, this.askedAt) - this.clk.mono() : 0;
     return Math.max(0, dueInMs, this.pausedMs);
   }
 
-  /** Milliseconds until the next try, where the engine is not known. */
+  /** Milliseconds until the next poll while the engine is not known. */
   get retryMs(): number {
     return Math.max(RETRY_MS, this.pausedMs);
   }
@@ -60,12 +62,12 @@
     return this.pausedUntil - this.clk.steady();
   }
 
-  /** Something changed that only the engine knows: the next question is due. */
+  /** Makes the next poll due at once; called when the engine may have changed by itself. */
   hurry(): void {
     this.askedAt = -Infinity;
   }
 
-  /** Asks; which worker is there by `identify`, where that is not known. */
+  /** Polls the engine; `identify` asks for the worker's name, and is undefined while that is known. */
   async ask(identify: (() => Promise<string>) | undefined): Promise<Finding> {
     const askedAt = this.clk.mono();
     const sentAt = this.clk.steady();
@@ -89,7 +91,7 @@
       return { kind: "paused", forMs: err.forMs };
     }
     this.misses++;
-    const isOut = this.misses % TOLD_EVERY === MISSES;
+    const isOut = this.misses % REPORT_OUT_EVERY === MISSES_UNTIL_OUT;
     return { kind: "missed", why: errors.why(err), isOut };
   }
 }
--- a/src/serving/seat.ts
+++ b/src/serving/seat.ts
@@ -1,7 +1,7 @@
 /**
- * The messages between entry and endpoint daemons about seats: an entry daemon asks for a seat on
- * an engine for one request, sends the request straight to the engine once it is granted, and says
- * when the first event came and when the run is over. One JSON message a line, over TCP.
+ * The messages between entry and endpoint daemons about seats. An entry daemon asks for a seat on an engine for
+ * one request. When the seat is granted, it sends the request directly to the engine, and then tells the endpoint
+ * daemon when the first event came and when the run ended. The messages are JSON lines over TCP.
  * @module
  */
 import * as zod from "zod";
@@ -9,33 +9,34 @@
 import * as limiterMessages from "./limiter-messages.js";
 import * as noticeMessages from "./notice-messages.js";
 
-/** From an entry daemon. */
+/** Messages from an entry daemon. */
 export const fromEntry = zod.discriminatedUnion("kind", [
   zod.object({ kind: zod.literal("hello"), host: zod.string() }).readonly(),
   zod
     .object({
       kind: zod.literal("ask"),
-      /** Names the seat on this connection. */
+      /** Number of the seat, unique on this connection. */
       seat: zod.int(),
-      /** The request's id, for the log. */
+      /** Id of the request, for the log. */
       request: zod.string(),
       model: zod.string(),
       adapter: zod.string().optional(),
-      /** Newest version that the entry daemon knows of; 0 for none. */
+      /** Newest version of the adapter that the entry daemon knows; 0 if it knows none. */
       version: zod.int(),
       promptTokens: zod.number(),
       answerTokens: zod.number(),
       rank: zod.number(),
-      /** Milliseconds until the first event is late. */
+      /** Milliseconds from now after which the first event is late. */
       targetMs: zod.number(),
-      /** Milliseconds after which the seat is of no use. */
+      /** Milliseconds from now after which the seat is of no use. */
       leftMs: zod.number(),
-      /** It waits here however long; else it is denied at once where another engine may be sooner. */
+      /** True: the request waits here however long. False: it is denied at once if another engine may be faster. */
       firm: zod.boolean(),
     })
     .readonly(),
-  /** The first event came, `ms` after the request was sent. */
+  /** The first event of the run came, `ms` after the request was sent. */
   zod.object({ kind: zod.literal("began"), seat: zod.int(), ms: zod.number() }).readonly(),
+  /** The seat is not needed any more; `how` tells what became of the run. */
   zod
     .object({
       kind: zod.literal("over"),
@@ -50,51 +51,51 @@
 export type FromEntry = zod.infer<typeof fromEntry>;
 export type Ask = Extract<FromEntry, { kind: "ask" }>;
 
-/** How busy an engine is, as its endpoint daemon knows it; sent more often than its holdings. */
+/** How busy an engine is, as known to its endpoint daemon; sent more often than the holdings. */
 export const state = zod
   .object({
     kind: zod.literal("state"),
-    /** Empty while the engine is out or not yet known. */
+    /** Incarnation of the engine; empty while it is out or not yet known. */
     instance: zod.string(),
-    /** Estimated ms until a prompt that arrives now begins to be read, by rank. */
+    /** Estimated ms until the engine starts to read a prompt that arrives now, by rank. */
     waitMs: zod.array(zod.number()).readonly(),
-    /** What its runs tell: ms that a prompt token takes, and from the last one to the first event. */
+    /** Estimates from its runs: ms to read one prompt token, and ms from the last one to the first event. */
     msPerToken: zod.number(),
     firstMs: zod.number(),
     /** Estimated ms until a slot for another adapter is free, and until each further one. */
     slotMs: zod.number(),
     eachSlotMs: zod.number(),
-    /** What its loads tell: ms that one from the weight store takes, and one from memory. */
+    /** Estimates from its loads: ms of a load from the weight store, and of one from memory. */
     coldMs: zod.number(),
     warmMs: zod.number(),
-    /** Seats given and not over. */
+    /** Number of seats asked for or granted, and not ended. */
     seats: zod.number(),
-    /** Part of the latest runs that failed, 0 to 1. */
+    /** Smoothed share of the latest runs that failed, 0 to 1. */
     failing: zod.number(),
-    /** Entry daemons connected. */
+    /** Number of connected entry daemons. */
     entries: zod.number(),
-    /** Milliseconds within which the next word comes; longer silence means the link is broken. */
+    /** Milliseconds within which the next announcement comes; a longer silence means that the link is broken. */
     silenceMs: zod.number(),
   })
   .readonly();
 export type State = zod.infer<typeof state>;
 
-/** What an engine holds, as its endpoint daemon knows it. */
+/** The models and adapters that an engine holds, as known to its endpoint daemon. */
 export const holdings = zod
   .object({
     kind: zod.literal("holdings"),
     models: zod.array(zod.string()).readonly(),
-    /** Adapters that can be used at once or are about to, by key. */
+    /** Keys of the adapters that are loaded or being loaded. */
     resident: zod.array(zod.string()).readonly(),
-    /** Adapters that left since the last word to this entry daemon, the latest last. */
+    /** Keys of the adapters that left since the last holdings message to this entry daemon, the latest last. */
     gone: zod.array(zod.string()).readonly(),
-    /** How many of the adapters that were resident last load fast; entry daemons remember which. */
+    /** How many of the adapters that were resident last load fast; entry daemons keep the list of these. */
     reach: zod.int(),
   })
   .readonly();
 export type Holdings = zod.infer<typeof holdings>;
 
-/** From an endpoint daemon. */
+/** Messages from an endpoint daemon. */
 export const fromEndpoint = zod.discriminatedUnion("kind", [
   state,
   holdings,
@@ -106,11 +107,11 @@
       kind: zod.literal("grant"),
       seat: zod.int(),
       instance: zod.string(),
-      /** Version of the adapter that is held. */
+      /** Version of the adapter that the engine holds; left out for a base model. */
       version: zod.int().optional(),
     })
     .readonly(),
-  /** The engine will not serve the request; nothing was run. */
+  /** The engine will not serve the request, and has not run any of it. */
   zod
     .object({
       kind: zod.literal("deny"),
