--- a/src/serving/announcer.ts
+++ b/src/serving/announcer.ts
@@ -181,7 +181,10 @@
     }
   }
 
-  /** Whether an announcement is needed: it has news for the entry daemon, or must show that this daemon still runs. */
+  /**
+   * Whether an announcement is needed: it has news for the entry daemon, or must show that this daemon
+   * still runs.
+   */
   private isNews(sent: Sent, announcement: Announcement, now: number): boolean {
     if (sent.soon || sent.held < this.heldChanges || sent.state !== announcement.state) return true;
     return now - sent.at >= this.silenceMs();
--- a/src/serving/base-model.ts
+++ b/src/serving/base-model.ts
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Returns the model to load at `now` (monotonic ms); undefined if the engine holds one, if none is configured, or
-   * while the last order may still be in progress.
+   * Returns the model to load at `now` (monotonic ms); undefined if the engine holds one, if none is
+   * configured, or while the last order may still be in progress.
    */
   wanted(
     spec: catalog.EngineSpec | undefined,
--- a/src/serving/endpoint-host.ts
+++ b/src/serving/endpoint-host.ts
@@ -1,6 +1,6 @@
 /**
- * Assembles and runs an endpoint daemon: the manager of the engine on its host, the server for entry daemons, and
- * the configuration feed.
+ * Assembles and runs an endpoint daemon: the manager of the engine on its host, the server for entry
+ * daemons, and the configuration feed.
  * @module
  */
 import * as clock from "../host/clock.js";
--- a/src/serving/keeper.ts
+++ b/src/serving/keeper.ts
@@ -1,8 +1,8 @@
 /**
- * The task of an endpoint daemon: it alone orders what the engine beside it holds, and gives seats
- * on it to entry daemons. One order is under way at a time, each bound to the engine's incarnation
- * and to the count of orders that the daemon last read, so that an order that is carried out late
- * changes nothing that was decided since.
+ * Manages the engine on the endpoint daemon's host. The manager alone orders what the engine loads and
+ * unloads, and grants seats on it to entry daemons. It sends one order at a time, bound to the engine's
+ * incarnation and to the sequence number that the engine last reported, so that an order that arrives
+ * late cannot undo a later decision.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -31,24 +31,29 @@
   readonly clock: clock.Clock;
   readonly log: record.Log;
   readonly engine: engine.Engine;
-  /** What this host knows of the configuration. */
+  /** Returns the configuration as currently known to this host. */
   readonly catalog: () => catalog.Catalog;
   /** Name of the service that the engine belongs to. */
   readonly service: string;
-  /** Milliseconds after which a declared version must be the only one in use. */
+  /** Milliseconds after its declaration from which a version must be the only one in use. */
   readonly versionMs: number;
-  /** Waits for a turn to load a base model from the weight store; false when none is to be had. */
+  /**
+   * Claims a turn to load a base model from the weight store; resolves to false, after a delay, if none
+   * is free.
+   */
   readonly modelTurn: () => Promise<boolean>;
-  /** What is known of workers by what they say. */
+  /** What workers have announced about themselves, such as that they leave. */
   readonly notices: Pick<noticeRelay.NoticeRelay, "isLeaving" | "observe">;
 }
 
+/** Runs the engine on this host and serves the seats that entry daemons ask for. */
 export class Keeper {
   private state = residency.empty();
-  private readonly ledger = new ledger.Ledger();
-  private readonly news: announcer.Announcer;
+  private readonly seatTable = new ledger.Ledger();
+  private readonly announcer: announcer.Announcer;
   private warmth = warmth.UNKNOWN;
-  private readonly model = new baseModel.BaseModel();
+  private readonly modelLoader = new baseModel.BaseModel();
+  /** Incarnation of the engine; empty while it is out or not yet known. */
   private instance = "";
   private readonly orders: orders.Orders;
   private readonly probe: probe.Probe;
@@ -59,18 +64,18 @@
     this.waker = new waker.Waker(deps.clock);
     this.probe = new probe.Probe(deps.clock, deps.engine);
     this.orders = new orders.Orders(deps.clock, deps.log, deps.engine);
-    this.news = new announcer.Announcer(
+    this.announcer = new announcer.Announcer(
       deps.clock,
-      (silenceMs) => listing.state(this.known(deps.clock.mono()), this.news.count(), silenceMs),
+      (silenceMs) => listing.state(this.view(deps.clock.mono()), this.announcer.count(), silenceMs),
       () => listing.holdings(this.state, this.warmth.reach),
       () => warmth.warm(this.warmth),
     );
   }
 
-  /** Looks after the engine until {@link stop}. */
+  /** Polls the engine, grants seats and sends orders until {@link stop} is called. */
   async run(): Promise<void> {
     while (!this.stopped) {
-      if (this.lookInMs() === 0) await this.look();
+      if (this.pollInMs() === 0) await this.poll();
       if (this.instance === "") {
         this.denyAll("out");
         await this.waker.pause(this.probe.retryMs);
@@ -81,7 +86,7 @@
         await this.waker.pause(this.idleMs());
         continue;
       }
-      this.settle();
+      this.settleSeats();
       const next = this.nextOrder();
       if (next) await this.carryOut(next);
       else if (!(await this.loadModel())) await this.waker.pause(this.idleMs());
@@ -96,11 +101,11 @@
 
   stop(): void {
     this.stopped = true;
-    this.news.close();
+    this.announcer.close();
     this.waker.wake();
   }
 
-  /** The catalog changed. */
+  /** Takes over declared versions after the catalog changed. */
   heard(): void {
     const now = this.deps.clock.mono();
     for (const [key, version] of this.deps.catalog().versions) {
@@ -109,95 +114,104 @@
     this.waker.wake();
   }
 
-  /** What is known of workers by what they say has changed. */
+  /** Reacts to a change of what workers have announced. */
   noticed(): void {
     this.waker.wake();
   }
 
+  /** Whether the worker has announced that it leaves. */
   private isLeaving(): boolean {
     return this.deps.notices.isLeaving(this.instance);
   }
 
+  /** Adds an entry daemon's connection. */
   join(c: announcer.Client): void {
-    this.news.join(c);
+    this.announcer.join(c);
   }
 
-  /** A connection is over; its seats are, too. */
+  /** Removes a connection that closed, and ends its seats. */
   leave(c: announcer.Client): void {
-    for (const id of this.ledger.of(c)) this.over(id, "left");
-    this.news.leave(c);
+    for (const id of this.seatTable.of(c)) this.removeSeat(id, "left");
+    this.announcer.leave(c);
   }
 
+  /** Handles a request for a seat. */
   ask(c: announcer.Client, m: seat.Ask): void {
     const now = this.deps.clock.mono();
     const key = m.adapter === undefined ? m.model : catalog.adapterKey(m.model, m.adapter);
     const id = `${c.host}#${m.seat}`;
     if (m.version > 0) this.state = residency.declare(this.state, key, m.version, now);
-    const ownMs = reading.expectedMs(this.ledger.reading, m.promptTokens);
+    const ownMs = reading.expectedMs(this.seatTable.reading, m.promptTokens);
     if (this.isLeaving()) {
-      this.sendBack(c, m, key, "leaving");
+      this.denyAtOnce(c, m, key, "leaving");
       return;
     }
     if (!m.firm && this.instance !== "" && this.isDiverted(m, key, ownMs, now)) {
-      this.sendBack(c, m, key, "busy");
+      this.denyAtOnce(c, m, key, "busy");
       return;
     }
     const waiter = waiting.from(id, key, m, ownMs, now);
-    // What will be late whatever is done gives way, so nobody waits for it.
-    const place = waiting.isLate(waiter, now) ? backlog.RANKS : m.rank;
-    this.ledger.ask(id, ledger.asked(c, key, m, now), m.promptTokens, place);
+    // A request that will be late in any case yields to others, so it gets the last rank and adds to
+    // nobody's wait.
+    const rank = waiting.isLate(waiter, now) ? backlog.RANKS : m.rank;
+    this.seatTable.ask(id, ledger.asked(c, key, m, now), m.promptTokens, rank);
     this.state = residency.ask(this.state, waiter, now);
     if (this.instance === "") this.deny(id, "out");
-    else this.settle();
+    else this.settleSeats();
     this.waker.wake();
-    this.news.asked(c);
+    this.announcer.asked(c);
   }
 
   private isDiverted(m: seat.Ask, key: string, ownMs: number, now: number): boolean {
     const isHeld = m.adapter === undefined || this.state.slots.has(key);
-    const waitMs = listing.waitMs(this.known(now), m.rank, isHeld);
+    const waitMs = listing.waitMs(this.view(now), m.rank, isHeld);
     return diversion.isDiverted({ waitMs, ownMs, targetMs: m.targetMs });
   }
 
-  /** Sends a request back at once, with what is to be known to find a better engine. */
-  private sendBack(c: announcer.Client, m: seat.Ask, adapter: string, reason: seat.Deny): void {
-    this.news.tell(c);
+  /**
+   * Denies a seat at once, and sends the current state first, so that the entry daemon can find a better
+   * engine.
+   */
+  private denyAtOnce(c: announcer.Client, m: seat.Ask, adapter: string, reason: seat.Deny): void {
+    this.announcer.tell(c);
     c.send({ kind: "deny", seat: m.seat, reason });
-    this.tellDenied(m.request, adapter, reason, 0);
+    this.logDenied(m.request, adapter, reason, 0);
   }
 
-  private tellDenied(request: string, adapter: string, reason: seat.Deny, waitedMs: number): void {
+  private logDenied(request: string, adapter: string, reason: seat.Deny, waitedMs: number): void {
     this.deps.log.info("A seat was denied.", { request, adapter, reason, waitedMs });
   }
 
+  /** Records that the first event of a run came, `ms` after its request was sent. */
   began(c: announcer.Client, n: number, ms: number): void {
-    this.ledger.began(`${c.host}#${n}`, ms, this.deps.clock.mono());
+    this.seatTable.began(`${c.host}#${n}`, ms, this.deps.clock.mono());
     this.waker.wake();
-    this.news.changed();
+    this.announcer.changed();
   }
 
-  /** A seat is not needed any more. */
+  /** Ends a seat that its entry daemon does not need any more. */
   end(c: announcer.Client, n: number, how: ledger.End): void {
-    this.over(`${c.host}#${n}`, how);
+    this.removeSeat(`${c.host}#${n}`, how);
     if (how === "absent") this.probe.hurry();
     this.waker.wake();
-    this.news.changed();
+    this.announcer.changed();
   }
 
-  /** Seats given or asked for. */
+  /** Number of seats asked for or granted. */
   count(): number {
-    return this.ledger.count;
+    return this.seatTable.count;
   }
 
-  private over(id: string, how: ledger.End): void {
-    const s = this.ledger.remove(id);
+  /** Removes a seat that ended, whether it was granted or not. */
+  private removeSeat(id: string, how: ledger.End): void {
+    const s = this.seatTable.remove(id);
     if (!s) return;
     if (s.givenAt === undefined) {
       this.state = residency.answered(this.state, id);
       return;
     }
     this.state = residency.pin(this.state, s.key, -1);
-    this.ledger.learn(s, how, this.deps.clock.mono());
+    this.seatTable.learn(s, how, this.deps.clock.mono());
   }
 
   private options(): residency.Options {
@@ -208,10 +222,10 @@
     return this.deps.catalog().config?.services.get(this.deps.service)?.engine;
   }
 
-  /** Gives and takes back seats as the state allows. */
-  private settle(): void {
+  /** Grants the seats that the state allows, and denies the expired ones. */
+  private settleSeats(): void {
     const now = this.deps.clock.mono();
-    for (const a of residency.seats(this.state, now, this.options(), this.reading(now))) {
+    for (const a of residency.seats(this.state, now, this.options(), this.prefillLoad(now))) {
       switch (a.kind) {
         case "grant":
           this.grant(a.waiter, a.version);
@@ -229,7 +243,7 @@
 
   private grant(w: waiting.Waiter, version: number | undefined): void {
     const now = this.deps.clock.mono();
-    const s = this.ledger.give(w.seat, now);
+    const s = this.seatTable.give(w.seat, now);
     this.state = residency.answered(this.state, w.seat);
     if (!s) return;
     this.state = residency.pin(this.state, w.key, 1);
@@ -242,121 +256,124 @@
       instance: this.instance,
       waitedMs,
     });
-    this.news.changed();
+    this.announcer.changed();
   }
 
   private deny(id: string, reason: seat.Deny): void {
-    const s = this.ledger.remove(id);
+    const s = this.seatTable.remove(id);
     this.state = residency.answered(this.state, id);
     if (!s) return;
     s.client.send({ kind: "deny", seat: s.n, reason });
-    this.tellDenied(s.request, s.key, reason, this.deps.clock.mono() - s.askedAt);
-    this.news.changed();
+    this.logDenied(s.request, s.key, reason, this.deps.clock.mono() - s.askedAt);
+    this.announcer.changed();
   }
 
   private denyAll(reason: seat.Deny): void {
     for (const w of this.state.waiting) this.deny(w.seat, reason);
   }
 
-  /** Milliseconds until something may have to be done though nothing happens. */
+  /** Milliseconds until the next poll or timeout, that is, how long to sleep unless something happens. */
   private idleMs(): number {
     const now = this.deps.clock.mono();
-    const timed = residency.wakeIn(this.state, now, this.options()) ?? Infinity;
-    const read = residency.readIn(this.state, now, this.options(), this.reading(now)) ?? Infinity;
-    const busy = this.orders.busyMs(now) || Infinity;
-    return Math.max(1, Math.min(this.lookInMs(), timed, read, busy));
+    const timeoutMs = residency.wakeIn(this.state, now, this.options()) ?? Infinity;
+    const roomMs =
+      residency.readIn(this.state, now, this.options(), this.prefillLoad(now)) ?? Infinity;
+    const busyMs = this.orders.busyMs(now) || Infinity;
+    return Math.max(1, Math.min(this.pollInMs(), timeoutMs, roomMs, busyMs));
   }
 
-  private reading(now: number): residency.Reading {
-    return { ms: this.ledger.readingMs(now), unbegun: this.ledger.unbegun(now) };
+  private prefillLoad(now: number): residency.Reading {
+    return { ms: this.seatTable.readingMs(now), unbegun: this.seatTable.unbegun(now) };
   }
 
-  private lookInMs(): number {
+  private pollInMs(): number {
     return this.probe.dueInMs(this.instance !== "", this.state, this.warmth);
   }
 
-  /** Reads what the engine holds. */
-  private async look(): Promise<void> {
+  /** Polls the engine and updates the state. */
+  private async poll(): Promise<void> {
     const isKnown = this.instance !== "";
-    const found = await this.probe.ask(isKnown ? undefined : () => this.identify());
-    switch (found.kind) {
+    const result = await this.probe.ask(isKnown ? undefined : () => this.identify());
+    switch (result.kind) {
       case "paused":
-        this.deps.log.warn("The engine asks for a pause.", { forMs: found.forMs });
+        this.deps.log.warn("The engine asks for a pause.", { forMs: result.forMs });
         return;
       case "missed":
-        if (found.isOut) this.missed(found.why);
+        if (result.isOut) this.handleNoAnswer(result.why);
         return;
       case "report":
-        this.read(found);
+        this.handleReport(result);
     }
   }
 
-  private read({
+  private handleReport({
     name,
     report,
     askedAt,
     answer,
   }: Extract<probe.Finding, { kind: "report" }>): void {
-    if (name !== undefined) this.meet(incarnation.idOf(name, report.born));
-    const isOther = incarnation.bornOf(this.instance) !== report.born;
-    if (isOther || !this.orders.heard(report.sequence)) {
+    if (name !== undefined) this.engineFound(incarnation.idOf(name, report.born));
+    const isRestarted = incarnation.bornOf(this.instance) !== report.born;
+    if (isRestarted || !this.orders.heard(report.sequence)) {
       this.deps.log.warn("The engine started anew.", { instance: this.instance });
-      this.lost();
+      this.engineLost();
       return;
     }
     this.deps.notices.observe(this.instance, answer);
-    this.learn(report, askedAt);
+    this.applyReport(report, askedAt);
   }
 
-  /** Asks which worker is there. */
+  /** Asks for the name of the worker that runs now. */
   private identify(): Promise<string> {
     const service = this.deps.catalog().config?.services.get(this.deps.service);
     if (!service) throw new Error(`the configuration has no service ${this.deps.service}`);
     return this.deps.engine.identify(service.healthPath);
   }
 
-  /** An incarnation of the engine is there. */
-  private meet(instance: string): void {
+  /** Starts to manage an incarnation of the engine that was found. */
+  private engineFound(instance: string): void {
     this.instance = instance;
     this.orders.reset();
-    this.news.changedMuch();
+    this.announcer.changedMuch();
     this.deps.log.info("The engine answers.", { instance });
   }
 
-  private missed(why: string): void {
+  private handleNoAnswer(why: string): void {
     this.deps.log.warn("The engine does not answer.", { instance: this.instance, why });
-    this.lost();
+    this.engineLost();
   }
 
-  /** What the engine holds is not known any more. */
-  private lost(): void {
+  /** Resets the state of an engine that is out or was restarted, and denies all seats that wait for it. */
+  private engineLost(): void {
     this.instance = "";
     this.orders.reset();
     this.warmth = warmth.emptied(this.warmth);
     const { newest, heat, waiting } = this.state;
     this.state = { ...residency.empty(), newest, heat, waiting };
     this.denyAll("out");
-    this.news.changedMuch();
+    this.announcer.changedMuch();
   }
 
-  private learn(report: engine.Report, askedAt: number): void {
+  /** Updates the state from a report that was requested at `askedAt`. */
+  private applyReport(report: engine.Report, askedAt: number): void {
     const models = report.models.map((m) => m.name);
     const before = this.state;
-    this.model.heard(report.nearby);
+    this.modelLoader.heard(report.nearby);
     this.state = residency.reconcile(this.state, models, listing.adapters(report), askedAt);
     for (const { key, since } of residency.loaded(before, this.state)) {
       this.warmth = warmth.loaded(this.warmth, key, askedAt - since);
     }
-    for (const key of before.slots.keys()) if (!this.state.slots.has(key)) this.left(key);
-    this.news.changed();
+    for (const key of before.slots.keys()) if (!this.state.slots.has(key)) this.adapterLeft(key);
+    this.announcer.changed();
   }
 
-  /** An adapter is in its place no more; the engine's host keeps it in memory for a while. */
-  private left(key: string): void {
+  /** Records that an adapter is in no slot any more; the engine's host keeps it in memory for a while. */
+  private adapterLeft(key: string): void {
     this.warmth = warmth.held(this.warmth, key);
-    this.news.departed(key);
+    this.announcer.departed(key);
   }
 
+  /** Carries out one action on the engine. */
   private async carryOut(a: residency.Action): Promise<void> {
     const now = this.deps.clock.mono();
     switch (a.kind) {
@@ -373,52 +390,53 @@
       case "load": {
         const { model, adapter, version } = a;
         this.state = residency.loading(this.state, a, now);
-        await this.give({ kind: "load", model, adapter, version });
+        await this.sendOrder({ kind: "load", model, adapter, version });
         return;
       }
       case "unload":
         this.state = residency.put(this.state, { ...a.slot, phase: "unsure", since: now });
-        await this.give({ kind: "unload", model: a.slot.model, adapter: a.slot.adapter });
+        await this.sendOrder({ kind: "unload", model: a.slot.model, adapter: a.slot.adapter });
         return;
     }
   }
 
-  /** Gives one order, and notes or reads what came of it. */
-  private async give(o: orders.Change): Promise<void> {
+  /** Sends one order, and records its result or polls the engine for it. */
+  private async sendOrder(o: orders.Change): Promise<void> {
     const { count } = this.orders;
     const result = await this.orders.give(o, this.instance, this.deps.catalog().revision);
     if (result.kind === "moved") {
-      this.lost();
+      this.engineLost();
       return;
     }
     if (result.kind !== "accepted" || o.adapter === undefined) {
-      await this.look();
+      await this.poll();
       if (result.kind === "conflict") this.orders.refused(count);
       return;
     }
     const key = catalog.adapterKey(o.model, o.adapter);
     if (o.kind === "load") {
       this.state = residency.accepted(this.state, key);
-      if (result.done) await this.look();
+      if (result.done) await this.poll();
       else this.orders.taken();
       return;
     }
-    // A place counts as empty only once the engine says so: it may still run what its caller has left.
-    await this.look();
+    // A slot counts as empty only when a report shows it: the engine may still run a request that its
+    // caller abandoned.
+    await this.poll();
   }
 
-  /** Loads the base model into an engine that has none; whether an order was given. */
+  /** Orders the base model for an engine that has none; returns whether an order was sent. */
   private async loadModel(): Promise<boolean> {
-    const wanted = this.model.wanted(this.spec(), this.state.models, this.deps.clock.mono());
+    const wanted = this.modelLoader.wanted(this.spec(), this.state.models, this.deps.clock.mono());
     if (!wanted) return false;
-    if (this.model.needsTurn(wanted) && !(await this.deps.modelTurn())) return false;
-    this.model.asked(this.deps.clock.mono());
-    await this.give({ kind: "load", model: wanted.name });
+    if (this.modelLoader.needsTurn(wanted) && !(await this.deps.modelTurn())) return false;
+    this.modelLoader.asked(this.deps.clock.mono());
+    await this.sendOrder({ kind: "load", model: wanted.name });
     return true;
   }
 
-  private known(now: number): listing.Known {
-    const { instance, ledger: seats, state: held, warmth } = this;
+  private view(now: number): listing.Known {
+    const { instance, seatTable: seats, state: held, warmth } = this;
     return { instance, seats, held, warmth, slots: this.options().slots, now };
   }
 }
--- a/src/serving/looks.ts
+++ b/src/serving/looks.ts
@@ -21,7 +21,10 @@
 /** Fraction of the usual load time after which a load may be finished. */
 const LOADED_FRACTION = 0.8;
 
-/** Monotonic ms of the poll after the one at `polledAt`: when a load may be finished, or after a fixed interval. */
+/**
+ * Monotonic ms of the poll after the one at `polledAt`: when a load may be finished, or after a fixed
+ * interval.
+ */
 export function next(s: residency.State, w: warmth.Warmth, polledAt: number): number {
   const warm = new Set(warmth.warm(w));
   let pollAt = polledAt + (s.models.length === 0 ? NO_MODEL_POLL_MS : IDLE_POLL_MS);
--- a/src/serving/orders.ts
+++ b/src/serving/orders.ts
@@ -1,6 +1,7 @@
 /**
- * Sends orders to an engine, one at a time. Each is bound to the engine's incarnation and to its sequence number,
- * the count of orders that it has accepted, so that an order that arrives late cannot undo a later decision.
+ * Sends orders to an engine, one at a time. Each is bound to the engine's incarnation and to its
+ * sequence number, the count of orders that it has accepted, so that an order that arrives late cannot
+ * undo a later decision.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -50,7 +51,10 @@
     this.busyUntil = -Infinity;
   }
 
-  /** Takes over the sequence number of a report; returns false if it fell, as the engine must have restarted. */
+  /**
+   * Takes over the sequence number of a report; returns false if it fell, as the engine must have
+   * restarted.
+   */
   heard(sequence: number): boolean {
     if (sequence < this.reportedSequence) return false;
     this.reportedSequence = sequence;
@@ -88,7 +92,10 @@
     return result;
   }
 
-  /** Counts an accepted order. If the count is wrong, the engine refuses the next order, and is polled again. */
+  /**
+   * Counts an accepted order. If the count is wrong, the engine refuses the next order, and is polled
+   * again.
+   */
   taken(): void {
     this.expectedSequence++;
   }
--- a/src/serving/probe.ts
+++ b/src/serving/probe.ts
@@ -47,7 +47,10 @@
     private readonly engine: engine.Engine,
   ) {}
 
-  /** Milliseconds until the next poll; 0 if the engine is not known (`isKnown`), unless it asked for a pause. */
+  /**
+   * Milliseconds until the next poll; 0 if the engine is not known (`isKnown`), unless it asked for a
+   * pause.
+   */
   dueInMs(isKnown: boolean, s: residency.State, w: warmth.Warmth): number {
     const dueInMs = isKnown ? looks.next(s, w, this.askedAt) - this.clk.mono() : 0;
     return Math.max(0, dueInMs, this.pausedMs);
--- a/src/serving/reading.ts
+++ b/src/serving/reading.ts
@@ -56,7 +56,10 @@
   return Math.min(MAX_MS_PER_TOKEN, Math.max(MIN_MS_PER_TOKEN, slope));
 }
 
-/** Estimated ms of a run that don't depend on its prompt: from the last prompt token to the first event, and any overhead. */
+/**
+ * Estimated ms of a run that don't depend on its prompt: from the last prompt token to the first event,
+ * and any overhead.
+ */
 export function firstMs(r: Reading): number {
   return Math.max(0, (r.ms - msPerToken(r) * r.tokens) / r.weight);
 }
--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -14,9 +14,10 @@
   readonly adapter: string;
   readonly version: number;
   /**
-   * `loading`: a load was ordered, and the engine does not list the adapter as ready yet. `resident`: ready,
-   * and seats on it are granted. `closing`: no more seats are granted, and it is unloaded once nobody uses
-   * it. `unsure`: an unload was ordered and not confirmed, so the slot counts as taken, and no seats on it are granted.
+   * `loading`: a load was ordered, and the engine does not list the adapter as ready yet. `resident`:
+   * ready, and seats on it are granted. `closing`: no more seats are granted, and it is unloaded once
+   * nobody uses it. `unsure`: an unload was ordered and not confirmed, so the slot counts as taken, and
+   * no seats on it are granted.
    */
   readonly phase: "loading" | "resident" | "closing" | "unsure";
   /** Whether the engine accepted the order to load this version. */
@@ -60,7 +61,10 @@
  * urgent one cannot overtake a long one any more.
  */
 const GRANT_AHEAD_MS = 40;
-/** Granted requests without a first event, at most; limits the load on engines that are slower than estimated. */
+/**
+ * Granted requests without a first event, at most; limits the load on engines that are slower than
+ * estimated.
+ */
 const MAX_UNSTARTED = 8;
 
 /** State of one engine; an immutable value that the functions below derive the next one from. */
@@ -126,7 +130,10 @@
   return p !== undefined && isUsable(s, p, now, opts);
 }
 
-/** Returns the seats to grant and the ones to deny as expired at `now`; `engine` is its current prefill load. */
+/**
+ * Returns the seats to grant and the ones to deny as expired at `now`; `engine` is its current prefill
+ * load.
+ */
 export function seats(
   s: State,
   now: number,
@@ -159,7 +166,8 @@
 export function order(s: State, now: number, opts: Options): Action | undefined {
   const wanted = wantedKeys(s, now);
   const stale = staleIdle(s);
-  // Adapters that requests wait for go first; otherwise an unused outdated adapter is replaced before its next use.
+  // Adapters that requests wait for go first; otherwise an unused outdated adapter is replaced before
+  // its next use.
   if (stale && (wanted.length === 0 || isWaitedFor(s, stale.key))) return load(s, stale);
   const loading = [...s.slots.values()].filter((p) => p.phase === "loading");
   const cold = loading.filter((p) => !opts.isWarm(p.key)).length;
@@ -258,7 +266,10 @@
   return slot && { kind: "close", slot };
 }
 
-/** Milliseconds from `now` until the next timeout of a waiter or an outdated version; undefined if there is none. */
+/**
+ * Milliseconds from `now` until the next timeout of a waiter or an outdated version; undefined if there
+ * is none.
+ */
 export function wakeIn(s: State, now: number, opts: Options): number | undefined {
   const times = s.waiting.flatMap((w) => [w.dueAt - now, w.since + opts.closeAfterMs - now]);
   for (const p of s.slots.values()) {
--- a/src/serving/seat.ts
+++ b/src/serving/seat.ts
@@ -1,7 +1,8 @@
 /**
- * The messages between entry and endpoint daemons about seats. An entry daemon asks for a seat on an engine for
- * one request. When the seat is granted, it sends the request directly to the engine, and then tells the endpoint
- * daemon when the first event came and when the run ended. The messages are JSON lines over TCP.
+ * The messages between entry and endpoint daemons about seats. An entry daemon asks for a seat on an
+ * engine for one request. When the seat is granted, it sends the request directly to the engine, and
+ * then tells the endpoint daemon when the first event came and when the run ended. The messages are JSON
+ * lines over TCP.
  * @module
  */
 import * as zod from "zod";
@@ -30,7 +31,10 @@
       targetMs: zod.number(),
       /** Milliseconds from now after which the seat is of no use. */
       leftMs: zod.number(),
-      /** True: the request waits here however long. False: it is denied at once if another engine may be faster. */
+      /**
+       * True: the request waits here however long. False: it is denied at once if another engine may be
+       * faster.
+       */
       firm: zod.boolean(),
     })
     .readonly(),
@@ -74,7 +78,10 @@
     failing: zod.number(),
     /** Number of connected entry daemons. */
     entries: zod.number(),
-    /** Milliseconds within which the next announcement comes; a longer silence means that the link is broken. */
+    /**
+     * Milliseconds within which the next announcement comes; a longer silence means that the link is
+     * broken.
+     */
     silenceMs: zod.number(),
   })
   .readonly();
--- a/src/serving/warmth.ts
+++ b/src/serving/warmth.ts
@@ -1,8 +1,8 @@
 /**
- * History of an engine's adapter loads: which adapters are probably still in its host's memory and load fast
- * (warm), how long warm and cold loads take, and how many cold loads should run at the same time. Engines do
- * not list the adapters in their host's memory, so this module keeps the order in which adapters were last held,
- * and estimates from the load times how many of the latest are warm. Pure.
+ * History of an engine's adapter loads: which adapters are probably still in its host's memory and load
+ * fast (warm), how long warm and cold loads take, and how many cold loads should run at the same time.
+ * Engines do not list the adapters in their host's memory, so this module keeps the order in which
+ * adapters were last held, and estimates from the load times how many of the latest are warm. Pure.
  * @module
  */
 
@@ -30,7 +30,10 @@
 const MIN_REACH_FRACTION = 0.8;
 /** Number of adapters whose order is kept. */
 const MAX_RECENT = 400;
-/** A load counts as one from memory if it takes less than this fraction of a usual load from the weight store. */
+/**
+ * A load counts as one from memory if it takes less than this fraction of a usual load from the weight
+ * store.
+ */
 const WARM_FRACTION = 0.4;
 /** Initial estimates in ms of loads from the weight store and from memory; a few loads outweigh them. */
 const INITIAL_COLD_MS = 300;
