--- a/test/serving/cold-start.test.ts
+++ b/test/serving/cold-start.test.ts
@@ -8,17 +8,19 @@
 const MODEL = "base";
 const SLOTS = 6;
 const STEP_MS = 5;
-const PLAYED_MS = 4000;
-/** What one load takes while the weight store serves it at full speed. */
+/** Milliseconds of simulated time. */
+const SIMULATED_MS = 4000;
+/** Milliseconds that one load takes while the weight store serves it at full speed. */
 const LOAD_MS = 250;
 
 interface Engine {
   state: residency.State;
   warmth: warmth.Warmth;
-  /** Milliseconds at full speed that each load still takes, and when it was ordered. */
+  /** Loads in progress: the ms at full speed that each still takes, and the time of its order. */
   readonly loads: Map<string, { leftMs: number; readonly since: number }>;
 }
 
+/** Creates engine `n`, with `wanted` requests that each wait for another adapter. */
 function engine(n: number, wanted: number): Engine {
   let state: residency.State = { ...residency.empty(), models: [MODEL] };
   for (let i = 0; i < wanted; i++) {
@@ -31,8 +33,8 @@
   return { state, warmth: warmth.UNKNOWN, loads: new Map() };
 }
 
-/** Orders what the engine should load now. */
-function order(e: Engine, now: number, coldLoads: number): void {
+/** Starts all loads that the engine should order now. */
+function startLoads(e: Engine, now: number, coldLoads: number): void {
   const opts: residency.Options = {
     slots: SLOTS,
     loads: 4,
@@ -49,18 +51,21 @@
   }
 }
 
-/** When each adapter was there, if all engines start at once over a store that serves `atOnce` loads. */
-function play(
+/**
+ * Simulates engines that all start at once, on a weight store that serves `atOnce` loads at full speed and
+ * slows all of them down beyond that. Returns the times at which the adapters were loaded.
+ */
+function simulate(
   engines: number,
   atOnce: number,
   coldLoads: (w: warmth.Warmth) => number,
 ): readonly number[] {
   const all = Array.from({ length: engines }, (_, i) => engine(i, SLOTS));
-  const there: number[] = [];
-  for (let now = 0; now < PLAYED_MS; now += STEP_MS) {
-    for (const e of all) order(e, now, coldLoads(e.warmth));
-    const under = all.reduce((sum, e) => sum + e.loads.size, 0);
-    const speed = Math.min(1, atOnce / Math.max(1, under));
+  const loadedAt: number[] = [];
+  for (let now = 0; now < SIMULATED_MS; now += STEP_MS) {
+    for (const e of all) startLoads(e, now, coldLoads(e.warmth));
+    const inProgress = all.reduce((sum, e) => sum + e.loads.size, 0);
+    const speed = Math.min(1, atOnce / Math.max(1, inProgress));
     for (const e of all) {
       for (const [key, l] of e.loads) {
         l.leftMs -= STEP_MS * speed;
@@ -69,11 +74,11 @@
         const slot = e.state.slots.get(key);
         if (slot) e.state = residency.put(e.state, { ...slot, phase: "resident" });
         e.warmth = warmth.loaded(e.warmth, key, now - l.since);
-        there.push(now);
+        loadedAt.push(now);
       }
     }
   }
-  return there;
+  return loadedAt;
 }
 
 const within = (list: readonly number[], ms: number): number =>
@@ -81,30 +86,31 @@
 const mean = (list: readonly number[]): number => list.reduce((a, b) => a + b, 0) / list.length;
 
 describe("engines that all load at once", () => {
-  // Mean until an adapter is there, before and after: 2.04 and 1.68 s, 2.00 and 1.64 s, 1.16 and 0.95 s.
+  // Mean time until an adapter is loaded, with a fixed and with the adaptive limit: 2.04 and 1.68 s, 2.00 and
+  // 1.64 s, 1.16 and 0.95 s.
   for (const [engines, atOnce] of [
     [14, 8],
     [55, 32],
     [8, 8],
   ] as const) {
     it(`have adapters sooner than with as many loads as fit (${engines}, store ${atOnce})`, () => {
-      const before = play(engines, atOnce, () => 4);
-      const after = play(engines, atOnce, warmth.coldAtOnce);
-      expect(after.length).equal(before.length);
-      expect(within(after, 500)).least(engines);
-      expect(within(before, 500)).equal(0);
-      expect(mean(after)).below(mean(before) * 0.9);
-      expect(Math.max(...after)).below(Math.max(...before) * 1.05);
+      const fixed = simulate(engines, atOnce, () => 4);
+      const adaptive = simulate(engines, atOnce, warmth.coldAtOnce);
+      expect(adaptive.length).equal(fixed.length);
+      expect(within(adaptive, 500)).least(engines);
+      expect(within(fixed, 500)).equal(0);
+      expect(mean(adaptive)).below(mean(fixed) * 0.9);
+      expect(Math.max(...adaptive)).below(Math.max(...fixed) * 1.05);
     });
   }
 
-  it("come to use a store that serves them all at full speed", () => {
+  it("raise their limit on a store that serves all loads at full speed", () => {
     let w = warmth.UNKNOWN;
     for (let i = 0; i < 8; i++) w = warmth.loaded(w, `a${i}`, LOAD_MS);
     expect(warmth.coldAtOnce(w)).equal(4);
-    // Until then a few adapters come one after the other: 0.62 s in the mean in place of 0.33 s.
-    const before = play(4, 32, () => 4);
-    const after = play(4, 32, warmth.coldAtOnce);
-    expect(mean(after)).below(mean(before) + 320);
+    // Until the limit has grown, the first few adapters load one after the other: 0.62 s instead of 0.33 s in the mean.
+    const fixed = simulate(4, 32, () => 4);
+    const adaptive = simulate(4, 32, warmth.coldAtOnce);
+    expect(mean(adaptive)).below(mean(fixed) + 320);
   });
 });
--- a/test/serving/engines.ts
+++ b/test/serving/engines.ts
@@ -1,5 +1,5 @@
 /**
- * Keepers over fake engines, each with its door and a link to it.
+ * Engine managers on fake engines, each with its server for entry daemons and a link to it.
  * @module
  */
 import * as clock from "../../src/host/clock.js";
@@ -16,15 +16,15 @@
 import * as fixtures from "./fixtures.js";
 import * as links from "./links.js";
 
-/** What ends the sites of the test at hand, also when it fails. */
-const ends: (() => void)[] = [];
+/** Cleanup functions of the current test. */
+const cleanups: (() => void)[] = [];
 
-/** Ends all sites; to be called after each test. */
+/** Stops everything that {@link start} started; must be called after each test, also after a failed one. */
 export function endAll(): void {
-  for (const end of ends.splice(0)) end();
+  for (const cleanUp of cleanups.splice(0)) cleanUp();
 }
 
-/** A configuration whose only service has engines of some slots. */
+/** A configuration whose only service has engines with `slots` slots each. */
 export function configOf(slots: number): catalog.Config {
   const engine: catalog.EngineSpec = {
     slots,
@@ -35,7 +35,7 @@
   return { ...fixtures.CONFIG, services: new Map([[service.name, service]]) };
 }
 
-/** What a host knows of engines with one slot each, and their service. */
+/** A catalog with the given endpoints, whose engines have one slot each, and their service. */
 export function known(list: readonly catalog.Endpoint[]): {
   readonly at: catalog.Catalog;
   readonly service: catalog.Service;
@@ -46,7 +46,7 @@
   return { at: { ...catalog.EMPTY, config, endpoints }, service };
 }
 
-/** A keeper over a fake engine, with its door open, and one entry daemon's link to it. */
+/** Starts an engine manager on a fake engine, with its server and one entry daemon's link to it. */
 export async function site(instance = "i1", slots = 2) {
   const engine = new fakes.FakeEngine();
   engine.instance = instance;
@@ -56,9 +56,9 @@
     config: configOf(slots),
   };
   const notices = new noticeRelay.NoticeRelay(clock.system, () => {
-    kept.noticed();
+    manager.noticed();
   });
-  const kept: keeper.Keeper = new keeper.Keeper({
+  const manager: keeper.Keeper = new keeper.Keeper({
     clock: clock.system,
     log: record.silent,
     engine,
@@ -73,29 +73,29 @@
   });
   const port = await ports.free();
   const address = `127.0.0.1:${port}`;
-  const relayed = new relay.Relay({ clock: clock.system, log: record.silent });
+  const suspicions = new relay.Relay({ clock: clock.system, log: record.silent });
   const parts = {
     log: record.silent,
-    keeper: kept,
-    relay: relayed,
+    keeper: manager,
+    relay: suspicions,
     limiter: new limiterPlace.LimiterPlace({ clock: clock.system, log: record.silent }),
     notices,
   };
   const open = () => desk.open(address, parts);
-  let door = await open();
+  let server = await open();
   const { made, lost, told } = links.open(address);
-  void kept.run();
-  ends.push(() => {
+  void manager.run();
+  cleanups.push(() => {
     made.close();
-    door.close();
-    kept.stop();
+    server.close();
+    manager.stop();
   });
   await until(() => made.state?.instance === engine.instance);
   return {
     engine,
     address,
     notices,
-    keeper: kept,
+    keeper: manager,
     link: made,
     lost,
     told,
@@ -103,17 +103,18 @@
     declare: (adapter: string, version: number) => {
       at = catalog.step(at, { kind: "version", key: `m/${adapter}`, version });
       engine.newest = version;
-      kept.heard();
+      manager.heard();
     },
     closeDoor: () => {
-      door.close();
+      server.close();
     },
     openDoor: async () => {
-      door = await open();
+      server = await open();
     },
   };
 }
 
+/** Waits until a condition holds; fails after 4 s. */
 export async function until(what: () => boolean): Promise<void> {
   for (let i = 0; i < 400; i++) {
     if (what()) return;
@@ -122,6 +123,7 @@
   throw new Error("it did not come about within 4 s");
 }
 
+/** What an entry daemon asks for a seat on `adapter` with. */
 export function wish(adapter: string, leftMs = 3000): link.Wish {
   return {
     request: adapter,
--- a/test/serving/fake-engine.ts
+++ b/test/serving/fake-engine.ts
@@ -1,45 +1,47 @@
 /**
- * An engine in memory whose orders can get lost, come late, or meet a restart.
+ * An in-memory engine that can lose answers, carry out orders late, be out, or restart.
  * @module
  */
 import type * as engine from "../../src/serving/engine.js";
 import * as notices from "../../src/serving/notices.js";
 import * as incarnation from "../../src/serving/incarnation.js";
 
-/** Milliseconds that a load takes. */
+/** Milliseconds that a load of an adapter takes. */
 const LOAD_MS = 15;
 
-/** What becomes of the next orders. */
+/** What happens to the next orders. */
 export type Mood = "well" | "answer lost" | "late" | "out";
 
 export class FakeEngine implements engine.Engine {
   mood: Mood = "well";
   instance = "i1";
-  /** Its start, where it tells it. */
+  /** Unix ms of its start; undefined if it does not report it. */
   born: number | undefined;
+  /** Number of orders accepted. */
   sequence = 0;
-  /** Most adapters ever held or on their way at once. */
+  /** Largest number of adapters that were held or loading at the same time. */
   most = 0;
   readonly held = new Map<string, { version: number; ready: boolean }>();
   readonly orders: string[] = [];
+  /** Version that a load without a version gets. */
   newest = 1;
-  /** The base model is in its place. */
+  /** Whether the base model is loaded. */
   hasModel = true;
-  /** Base models that it loads by itself. */
+  /** Base models that it can load without the weight store. */
   nearby: readonly string[] = [];
-  /** Milliseconds for which a replaced version is still listed. */
+  /** Milliseconds for which the old version is still listed after the order to replace it. */
   replaceMs = 0;
-  /** Monotonic ms until which it refuses orders, since it is busy with another. */
+  /** Monotonic ms until which it refuses orders, as if busy with another. */
   busyUntil = 0;
-  /** Milliseconds for which an adapter stays in its place after its unload was taken. */
+  /** Milliseconds for which an adapter is still listed after its unload was accepted. */
   lingerMs = 0;
 
-  /** What its reports say of it besides. */
+  /** Notice in its reports. */
   notice = notices.NOTHING;
 
   report = (): Promise<engine.Report> => {
     if (this.mood === "out") return Promise.reject(new Error("connection refused"));
-    const list = [...this.held];
+    const adapters = [...this.held];
     return Promise.resolve({
       nearby: this.nearby,
       notice: this.notice,
@@ -49,14 +51,14 @@
               {
                 name: "m",
                 version: 1,
-                adapters: list
+                adapters: adapters
                   .filter(([, a]) => a.ready)
                   .map(([adapter, a]) => ({ adapter, version: a.version })),
               },
             ]
           : []),
       ],
-      pending: list
+      pending: adapters
         .filter(([, a]) => !a.ready)
         .map(([adapter, a]) => ({ model: "m", adapter, version: a.version })),
       born: this.born,
@@ -84,7 +86,7 @@
         this.carryOut(o);
         return Promise.resolve({ kind: "unanswered", why: "lost" });
       case "well":
-        // As over a connection: other events come between an order and its answer.
+        // As with a real connection, other events happen between an order and its answer.
         return new Promise((resolve) => {
           setImmediate(() => {
             resolve(this.carryOut(o));
@@ -93,7 +95,7 @@
     }
   };
 
-  /** The engine crashes and starts anew. */
+  /** Crashes and restarts the engine; it is then another incarnation and holds no adapters. */
   restart(): void {
     this.instance = `${this.instance}+`;
     this.sequence = 0;
@@ -123,11 +125,11 @@
       );
       return { kind: "accepted", done: false };
     }
-    const made = { version: o.version ?? this.newest, ready: false };
-    this.held.set(adapter, made);
+    const loading = { version: o.version ?? this.newest, ready: false };
+    this.held.set(adapter, loading);
     this.most = Math.max(this.most, this.held.size);
     setTimeout(() => {
-      made.ready = true;
+      loading.ready = true;
     }, LOAD_MS);
     return { kind: "accepted", done: false };
   }
--- a/test/serving/probe.test.ts
+++ b/test/serving/probe.test.ts
@@ -8,7 +8,7 @@
 
 const { expect } = chai;
 
-function open() {
+function setUp() {
   const clk = new time.Time();
   const fake = new fakes.FakeEngine();
   return { clk, fake, probe: new probe.Probe(clk, fake) };
@@ -16,16 +16,16 @@
 
 const dueInMs = (p: probe.Probe): number => p.dueInMs(true, residency.empty(), warmth.UNKNOWN);
 
-describe("questions to an engine", () => {
-  it("take two misses in a row for an engine that is out", async () => {
-    const { fake, probe } = open();
+describe("probe", () => {
+  it("reports an engine as out after two consecutive polls without an answer", async () => {
+    const { fake, probe } = setUp();
     fake.mood = "out";
-    const found = [await probe.ask(undefined), await probe.ask(undefined)];
-    expect(found.map((f) => f.kind === "missed" && f.isOut)).deep.equal([false, true]);
+    const results = [await probe.ask(undefined), await probe.ask(undefined)];
+    expect(results.map((f) => f.kind === "missed" && f.isOut)).deep.equal([false, true]);
   });
 
-  it("are not asked within a pause that the engine asks for, which is no miss", async () => {
-    const { clk, fake, probe } = open();
+  it("does not poll during a pause that the engine asks for, and does not count it as a miss", async () => {
+    const { clk, fake, probe } = setUp();
     await probe.ask(undefined);
     fake.report = () => Promise.reject(new engine.PauseError(3000));
     for (let n = 0; n < 3; n++) expect((await probe.ask(undefined)).kind).equal("paused");
--- a/test/serving/telling.ts
+++ b/test/serving/telling.ts
@@ -1,5 +1,5 @@
 /**
- * An endpoint daemon that tells what a test gives it, and answers no question.
+ * A fake endpoint daemon that sends the messages that a test gives it, and answers none.
  * @module
  */
 import * as net from "node:net";
@@ -7,7 +7,7 @@
 import type * as seat from "../../src/serving/seat.js";
 import * as fixtures from "./fixtures.js";
 
-/** Milliseconds for which it may say nothing without being taken for lost. */
+/** The `silenceMs` that it announces, long enough that no link counts it as lost during a test. */
 const SILENCE_MS = 10_000;
 
 /** The state of an idle engine. */
@@ -20,7 +20,7 @@
   return { kind: "holdings", models: ["m"], resident, gone: [], reach: 0 };
 }
 
-/** Opens one; each new connection is told `first`. */
+/** Starts one; it sends `first` on each new connection. */
 export async function open(...first: readonly seat.FromEndpoint[]) {
   let greeting = first;
   const heard: string[] = [];
@@ -32,17 +32,18 @@
       heard.push(...messages.map((m) => (JSON.parse(m) as seat.FromEntry).kind));
     });
     socket.on("error", () => socket.destroy());
-    socket.write(text(greeting));
+    socket.write(encode(greeting));
   });
   const address = await addresses.listen(server, "127.0.0.1:0");
   return {
     address,
-    /** Kinds of the messages that it got, in their order. */
+    /** Kinds of the messages that it received, in order. */
     heard,
+    /** Sends messages on all connections. */
     tell: (...messages: readonly seat.FromEndpoint[]): void => {
-      for (const s of sockets) s.write(text(messages));
+      for (const s of sockets) s.write(encode(messages));
     },
-    /** Ends all connections, as a restart does; each new one is told `again`. */
+    /** Ends all connections, as a restart does, and sends `again` on each new one. */
     restart: (...again: readonly seat.FromEndpoint[]): void => {
       greeting = again;
       for (const s of sockets) s.destroy();
@@ -55,6 +56,7 @@
   };
 }
 
-function text(messages: readonly seat.FromEndpoint[]): string {
+/** Encodes messages as JSON lines. */
+function encode(messages: readonly seat.FromEndpoint[]): string {
   return messages.map((m) => `${JSON.stringify(m)}\n`).join("");
 }
