--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -203,7 +203,7 @@
   readonly model: string;
   readonly adapter: string;
   /** Monotonic ms at which its first waiter asked for a seat. */
-  readonly since: number;
+  readonly askedAt: number;
 }
 
 /** Adapters that requests wait for and that are in no slot, in the serving order of their first waiter. */
@@ -212,7 +212,7 @@
   for (const w of waiting.inOrder(s.waiting, now)) {
     if (w.adapter === undefined || s.slots.has(w.key) || out.has(w.key)) continue;
     if (!s.models.includes(w.model)) continue;
-    out.set(w.key, { key: w.key, model: w.model, adapter: w.adapter, since: w.since });
+    out.set(w.key, { key: w.key, model: w.model, adapter: w.adapter, askedAt: w.since });
   }
   return [...out.values()];
 }
@@ -256,7 +256,7 @@
   now: number,
   opts: Options,
 ): Action | undefined {
-  const overdue = wanted.filter((w) => now - w.since >= opts.closeAfterMs).length;
+  const overdue = wanted.filter((w) => now - w.askedAt >= opts.closeAfterMs).length;
   const slots = [...s.slots.values()];
   const emptying = slots.filter((p) => p.phase === "closing" || p.phase === "unsure").length;
   if (emptying >= overdue) return undefined;
--- a/test/serving/queue.test.ts
+++ b/test/serving/queue.test.ts
@@ -11,10 +11,12 @@
 
 const OPTS = fixtures.residencyOf(4);
 const MODEL = "base";
-/** Milliseconds from the end of a prompt to its first event. */
+/** Milliseconds from the last token of a prompt to the first event. */
 const FIRST_MS = 30;
-const PLAYED_MS = 40_000;
+/** Milliseconds during which requests arrive. */
+const ARRIVALS_MS = 40_000;
 
+/** One kind of requests; `perS` arrive per second. */
 interface Kind {
   readonly perS: number;
   readonly tokens: number;
@@ -29,7 +31,7 @@
   readonly targetMs: number;
 }
 
-/** Short questions beside few long prompts, for an engine that reads `perMs` tokens a ms. */
+/** Many short prompts and few long ones, for an engine that reads `perMs` tokens per ms. */
 function kinds(perMs: number): Readonly<Record<string, Kind>> {
   return {
     short: { perS: 6, tokens: 20 * perMs, targetMs: 500 },
@@ -37,40 +39,45 @@
   };
 }
 
+/** Generates random arrivals: exponential gaps, and token counts with an exponential part. */
 function arrivals(perMs: number, seed: number): readonly Request[] {
   const rng = generators.xoroshiro128plus(seed);
-  const part = (): number => 1 - uniform.uniformFloat64(rng);
+  const random = (): number => 1 - uniform.uniformFloat64(rng);
   const list: Request[] = [];
   for (const [kind, k] of Object.entries(kinds(perMs))) {
-    for (let at = 0, n = 0; at < PLAYED_MS; n++) {
-      at += (-Math.log(part()) * 1000) / k.perS;
-      const tokens = k.tokens * (0.4 + 0.6 * -Math.log(part()));
+    for (let at = 0, n = 0; at < ARRIVALS_MS; n++) {
+      at += (-Math.log(random()) * 1000) / k.perS;
+      const tokens = k.tokens * (0.4 + 0.6 * -Math.log(random()));
       list.push({ id: `${kind}${n}`, kind, at, tokens, targetMs: k.targetMs });
     }
   }
   return list.sort((a, b) => a.at - b.at);
 }
 
-/** Part of each kind whose first event came in time, and the part that got one at all. */
+/** For each kind of requests, the shares whose first event came on time, and came at all. */
 type Outcome = Readonly<Record<string, { readonly onTime: number; readonly served: number }>>;
 
-/** Plays the load on an engine that reads prompts one after the other, as it gets them. */
-function play(perMs: number, seed: number, atOnce: boolean): Outcome {
+/**
+ * Simulates an engine that reads prompts one after the other in order of arrival. With `atOnce`,
+ * requests are sent to it when they arrive; otherwise when they get a seat.
+ */
+function simulate(perMs: number, seed: number, atOnce: boolean): Outcome {
   const queue = [...arrivals(perMs, seed)];
   const byId = new Map(queue.map((r) => [r.id, r]));
   const firsts = new Map<string, number>();
   const events: { at: number; id: string; sentAt: number }[] = [];
   let state: residency.State = { ...residency.empty(), models: [MODEL] };
   let load = backlog.IDLE;
-  let engineFree = 0;
+  /** Time at which the engine has read all prompts that were sent to it. */
+  let engineFreeAt = 0;
   const send = (id: string, now: number): void => {
     const r = byId.get(id);
     if (!r) return;
     load = backlog.given(load, id, now);
-    engineFree = Math.max(now, engineFree) + r.tokens / perMs;
-    events.push({ at: engineFree + FIRST_MS, id, sentAt: now });
+    engineFreeAt = Math.max(now, engineFreeAt) + r.tokens / perMs;
+    events.push({ at: engineFreeAt + FIRST_MS, id, sentAt: now });
   };
-  for (let now = 0; now < PLAYED_MS + 8000; now += 2) {
+  for (let now = 0; now < ARRIVALS_MS + 8000; now += 2) {
     while (queue[0] && queue[0].at <= now) {
       const r = queue.shift();
       if (!r) break;
@@ -117,16 +124,16 @@
   return Object.fromEntries(shares);
 }
 
-describe("an engine with long and short prompts", () => {
+describe("an engine that gets long and short prompts", () => {
   for (const perMs of [10, 40, 120]) {
     it(`serves more of both in time when seats are given as it reads (${perMs} tokens/ms)`, () => {
       for (const seed of [1, 2, 3]) {
-        const line = play(perMs, seed, true);
-        const seats = play(perMs, seed, false);
-        expect(seats.short?.onTime).above((line.short?.onTime ?? 0) + 0.1);
-        expect(seats.long?.onTime).above((line.long?.onTime ?? 0) - 0.02);
-        expect(seats.short?.served).above(0.97);
-        expect(seats.long?.served).above(0.9);
+        const atOnce = simulate(perMs, seed, true);
+        const withSeats = simulate(perMs, seed, false);
+        expect(withSeats.short?.onTime).above((atOnce.short?.onTime ?? 0) + 0.1);
+        expect(withSeats.long?.onTime).above((atOnce.long?.onTime ?? 0) - 0.02);
+        expect(withSeats.short?.served).above(0.97);
+        expect(withSeats.long?.served).above(0.9);
       }
     });
   }
--- a/test/serving/residency.test.ts
+++ b/test/serving/residency.test.ts
@@ -43,76 +43,83 @@
   return slots.reduce(residency.put, start);
 }
 
-/** An engine that carries orders out at once or later, and seats that end at random. */
-interface World {
+/** A simulated engine and its seats. */
+interface Simulation {
   state: residency.State;
   now: number;
+  /** Number of seats asked for so far. */
   next: number;
+  /** Adapter keys of granted seats that have not ended, by seat. */
   readonly running: Map<string, string>;
   readonly granted: Set<string>;
   readonly expired: Set<string>;
 }
 
-function settle(w: World): void {
-  for (const a of residency.seats(w.state, w.now, OPTS)) {
+/** Grants and denies seats as the state allows. */
+function settleSeats(sim: Simulation): void {
+  for (const a of residency.seats(sim.state, sim.now, OPTS)) {
     if (a.kind === "grant") {
-      const s = w.state.slots.get(a.waiter.key);
+      const s = sim.state.slots.get(a.waiter.key);
       expect(a.waiter.adapter === undefined || s?.phase === "resident").equal(true);
-      w.state = residency.pin(residency.answered(w.state, a.waiter.seat), a.waiter.key, 1);
-      w.running.set(a.waiter.seat, a.waiter.key);
-      w.granted.add(a.waiter.seat);
+      sim.state = residency.pin(residency.answered(sim.state, a.waiter.seat), a.waiter.key, 1);
+      sim.running.set(a.waiter.seat, a.waiter.key);
+      sim.granted.add(a.waiter.seat);
     } else if (a.kind === "expire") {
-      w.state = residency.answered(w.state, a.waiter.seat);
-      w.expired.add(a.waiter.seat);
+      sim.state = residency.answered(sim.state, a.waiter.seat);
+      sim.expired.add(a.waiter.seat);
     }
   }
 }
 
-function obey(w: World): boolean {
-  const a = residency.order(w.state, w.now, OPTS);
+/** Carries out the next order; returns false if there is none. */
+function carryOutOrder(sim: Simulation): boolean {
+  const a = residency.order(sim.state, sim.now, OPTS);
   if (!a) return false;
   switch (a.kind) {
     case "load":
-      w.state = residency.put(w.state, slot(a.adapter, { phase: "loading", since: w.now }));
+      sim.state = residency.put(sim.state, slot(a.adapter, { phase: "loading", since: sim.now }));
       break;
     case "unload":
       expect(a.slot.pins).equal(0);
-      w.state = residency.drop(w.state, a.slot.key);
+      sim.state = residency.drop(sim.state, a.slot.key);
       break;
     case "close":
-      w.state = residency.put(w.state, { ...a.slot, phase: "closing", since: w.now });
+      sim.state = residency.put(sim.state, { ...a.slot, phase: "closing", since: sim.now });
       break;
     case "grant":
     case "expire":
-      throw new Error("seats are no orders");
+      throw new Error("a seat action is not an order");
   }
-  expect(w.state.slots.size).most(OPTS.slots);
+  expect(sim.state.slots.size).most(OPTS.slots);
   return true;
 }
 
-function finishLoads(w: World): void {
-  for (const s of w.state.slots.values()) {
-    if (s.phase === "loading") w.state = residency.put(w.state, { ...s, phase: "resident" });
+/** Finishes all loads in progress. */
+function finishLoads(sim: Simulation): void {
+  for (const s of sim.state.slots.values()) {
+    if (s.phase === "loading") sim.state = residency.put(sim.state, { ...s, phase: "resident" });
   }
 }
 
-function endSeat(w: World): void {
-  const [first] = w.running;
+/** Ends the seat that was granted first. */
+function endSeat(sim: Simulation): void {
+  const [first] = sim.running;
   if (!first) return;
-  w.running.delete(first[0]);
-  w.state = residency.pin(w.state, first[1], -1);
+  sim.running.delete(first[0]);
+  sim.state = residency.pin(sim.state, first[1], -1);
 }
 
-function play(w: World, step: string): void {
-  w.now += 20;
+/** Simulates one step, and the decisions after it. */
+function simulateStep(sim: Simulation, step: string): void {
+  sim.now += 20;
   if (step.startsWith("ask")) {
-    const seat = `s${w.next++}`;
-    w.state = residency.ask(w.state, waiter(seat, step.slice(4), w.now), w.now);
+    const seat = `s${sim.next++}`;
+    sim.state = residency.ask(sim.state, waiter(seat, step.slice(4), sim.now), sim.now);
   }
-  if (step === "end") endSeat(w);
-  if (step === "loaded") finishLoads(w);
-  settle(w);
-  while (obey(w)) settle(w);
+  if (step === "end") endSeat(sim);
+  if (step === "loaded") finishLoads(sim);
+  settleSeats(sim);
+  while (carryOutOrder(sim)) settleSeats(sim);
 }
 
 const step = fc.constantFrom("ask a", "ask b", "ask c", "ask d", "ask e", "end", "loaded");
@@ -121,7 +128,7 @@
   it("never holds too much, gives out what is not there, or unloads what is used", () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
-        const w: World = {
+        const sim: Simulation = {
           state: holding(),
           now: 0,
           next: 0,
@@ -129,24 +136,24 @@
           granted: new Set(),
           expired: new Set(),
         };
-        for (const s of steps) play(w, s);
-        for (let i = 0; i < 200 && w.state.waiting.length > 0; i++) {
-          play(w, "loaded");
-          play(w, "end");
+        for (const s of steps) simulateStep(sim, s);
+        for (let i = 0; i < 200 && sim.state.waiting.length > 0; i++) {
+          simulateStep(sim, "loaded");
+          simulateStep(sim, "end");
         }
-        expect(w.state.waiting).deep.equal([]);
-        expect(w.granted.size + w.expired.size).equal(w.next);
-        expect(w.expired.size).equal(0);
+        expect(sim.state.waiting).deep.equal([]);
+        expect(sim.granted.size + sim.expired.size).equal(sim.next);
+        expect(sim.expired.size).equal(0);
       }),
     );
   });
 
-  it("gives a seat for the base model without a slot", () => {
+  it("grants a seat for the base model without a slot", () => {
     const s = residency.ask(holding(), waiter("s", undefined, 0), 0);
     expect(residency.seats(s, 0, OPTS).map((a) => a.kind)).deep.equal(["grant"]);
   });
 
-  it("serves those that are not late yet first", () => {
+  it("loads adapters first for requests that can still be on time", () => {
     const late = { ...waiter("late", "a", 0), targetAt: 10 };
     const early = waiter("early", "b", 50);
     let s = residency.ask(holding(slot("x", { phase: "loading" })), late, 0);
@@ -155,7 +162,7 @@
     expect(a).include({ kind: "load", adapter: "b" });
   });
 
-  it("empties the slot least wanted lately", () => {
+  it("unloads the adapter that was asked for least lately", () => {
     let s = holding(slot("a"), slot("b"), slot("c"));
     for (const adapter of ["a", "c"]) {
       s = residency.answered(residency.ask(s, waiter("s", adapter, 0), 0), "s");
@@ -164,14 +171,14 @@
     expect(residency.order(s, 10, OPTS)).deep.include({ kind: "unload", slot: slot("b") });
   });
 
-  it("closes a slot in use only for one that has waited", () => {
+  it("closes a slot in use only for a request that has waited long enough", () => {
     const used = [slot("a", { pins: 1 }), slot("b", { pins: 1 }), slot("c", { pins: 1 })];
     const s = residency.ask(holding(...used), waiter("w", "d", 0), 0);
     expect(residency.order(s, 50, OPTS)).equal(undefined);
     expect(residency.order(s, 150, OPTS)?.kind).equal("close");
   });
 
-  it("gives an outdated adapter out for a while, and then waits for the new version", () => {
+  it("grants seats on an outdated version for a limited time, then waits for the new one", () => {
     const old = slot("a", { pins: 1 });
     const s = residency.ask(
       residency.declare(holding(old), old.key, 2, 0),
@@ -184,30 +191,30 @@
     expect(residency.order(idle, 100, OPTS)).include({ kind: "load", adapter: "a", version: 2 });
   });
 
-  it("keeps what changed after the question for a report", () => {
+  it("keeps slots that changed after a report was requested", () => {
     const s = holding(slot("a", { phase: "loading", since: 100 }), slot("b", { since: 0 }));
     const at = residency.reconcile(s, [MODEL], [], 50);
     expect([...at.slots.keys()]).deep.equal([`${MODEL}/a`]);
   });
 
-  it("counts a slot on its way in as taken", () => {
+  it("counts a loading slot as taken", () => {
     const s = holding(slot("a", { phase: "loading" }), slot("b", { pins: 1 }), slot("c"));
     expect(residency.room(s, 3)).deep.equal({ free: 1, wanted: 0 });
   });
 });
 
-describe("looks", () => {
-  it("come when a load may be done, and seldom while nothing changes", () => {
-    const calm = looks.next(holding(slot("a")), warmth.UNKNOWN, 1000);
+describe("polling", () => {
+  it("happens when a load may be finished, and rarely while nothing changes", () => {
+    const idle = looks.next(holding(slot("a")), warmth.UNKNOWN, 1000);
     const state = holding(slot("a"), slot("b", { phase: "loading", since: 990 }));
     const w = { ...warmth.UNKNOWN, coldMs: 200, warmMs: 20 };
     expect(looks.next(state, w, 1000)).within(1120, 1190);
     expect(looks.next(state, warmth.held(w, `${MODEL}/b`), 1000)).within(1005, 1030);
     expect(looks.next(state, w, 1180)).within(1185, 1200);
-    expect(calm).above(1200);
+    expect(idle).above(1200);
   });
 
-  it("are close while the engine has no base model, which all wait for after a power cut", () => {
+  it("is frequent while the engine has no base model, as after a power failure, when all requests wait for it", () => {
     expect(looks.next(residency.empty(), warmth.UNKNOWN, 1000)).within(1010, 1050);
   });
 });
--- a/test/serving/seats.test.ts
+++ b/test/serving/seats.test.ts
@@ -7,36 +7,36 @@
 
 const SLOTS = 2;
 
-describe("seats", () => {
+describe("an endpoint daemon", () => {
   afterEach(engines.endAll);
 
-  it("are given once the adapter is loaded", async () => {
+  it("grants a seat once the adapter is loaded", async () => {
     const s = await engines.site();
     const seat = s.link.ask(engines.wish("a"));
     expect(await seat.answer).deep.equal({ kind: "grant", instance: "i1", version: 1 });
     expect(s.engine.held.get("a")?.ready).equal(true);
   });
 
-  it("wait for a slot that another adapter uses, and never overfill the engine", async () => {
+  it("makes a request wait for a slot that another adapter uses, and never overfills the engine", async () => {
     const s = await engines.site();
-    const first = ["a", "b"].map((name) => s.link.ask(engines.wish(name)));
-    await Promise.all(first.map((f) => f.answer));
+    const held = ["a", "b"].map((name) => s.link.ask(engines.wish(name)));
+    await Promise.all(held.map((h) => h.answer));
     const third = s.link.ask(engines.wish("c"));
     await clock.sleep(clock.system, 60);
-    first[0]?.over("whole");
+    held[0]?.over("whole");
     expect((await third.answer).kind).equal("grant");
     expect([...s.engine.held.keys()]).deep.equal(["b", "c"]);
     expect(s.engine.most).most(SLOTS);
   });
 
-  it("are given though answers to orders are lost", async () => {
+  it("grants seats although answers to orders are lost", async () => {
     const s = await engines.site();
     s.engine.mood = "answer lost";
     expect((await s.link.ask(engines.wish("a")).answer).kind).equal("grant");
     expect(s.engine.orders).deep.equal(["load a"]);
   });
 
-  it("do not overfill the engine when orders are carried out late", async () => {
+  it("does not overfill an engine that carries out orders late", async () => {
     const s = await engines.site();
     s.engine.mood = "late";
     const asked = ["a", "b", "c"].map((name) => s.link.ask(engines.wish(name, 400)));
@@ -50,7 +50,7 @@
     expect(s.engine.most).most(SLOTS);
   });
 
-  it("are denied once they are of no use", async () => {
+  it("denies a seat once it is of no use", async () => {
     const s = await engines.site();
     const held = ["a", "b"].map((name) => s.link.ask(engines.wish(name)));
     await Promise.all(held.map((h) => h.answer));
@@ -60,7 +60,7 @@
     });
   });
 
-  it("are given on the new version after it was declared", async () => {
+  it("grants a seat on the new version after it was declared", async () => {
     const s = await engines.site();
     const old = s.link.ask(engines.wish("a"));
     await old.answer;
@@ -83,7 +83,7 @@
     expect(await firm.answer).include({ kind: "grant" });
   });
 
-  it("never overfill an engine that takes an unload and still runs the adapter", async () => {
+  it("never overfills an engine that accepts an unload while it still runs the adapter", async () => {
     const s = await engines.site("i1", 1);
     const other = s.link.ask(engines.wish("other"));
     await other.answer;
@@ -101,7 +101,7 @@
     s.engine.busyUntil = performance.now() + 400;
     const next = s.link.ask(engines.wish("a"));
     expect(await next.answer).include({ kind: "grant" });
-    // One refused order in each 25 ms at most, and those that were taken.
+    // At most one refused order per 25 ms, and the accepted ones.
     expect(s.engine.orders.length).below(24);
   });
 
@@ -121,7 +121,8 @@
     s.engine.nearby = ["m"];
     s.engine.hasModel = false;
     await engines.until(() => s.engine.orders.includes("load "));
-    // The order is carried out after it is noted; taken away before that, the model would come back.
+    // The fake notes an order before it carries it out. If the model were removed in between, it
+    // would come back.
     await engines.until(() => s.engine.hasModel);
     expect(s.turns()).equal(0);
     s.engine.nearby = [];
@@ -129,7 +130,7 @@
     await engines.until(() => s.turns() === 1);
   });
 
-  it("tell the endpoint daemon of a version that it has not heard of", async () => {
+  it("learns from a request for a seat of a version that it does not know", async () => {
     const s = await engines.site();
     const old = s.link.ask(engines.wish("a"));
     await old.answer;
@@ -141,7 +142,7 @@
     await engines.until(() => s.engine.held.get("a")?.version === 2);
   });
 
-  it("tell of an engine that is gone, and go on with the next", async () => {
+  it("announces that the engine is lost, and grants seats on the next incarnation", async () => {
     const s = await engines.site();
     const before = s.link.ask(engines.wish("a"));
     await before.answer;
@@ -153,7 +154,7 @@
     expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant", instance: "i1+" });
   });
 
-  it("find out that an engine restarted between two looks", async () => {
+  it("detects that the engine restarted between two polls", async () => {
     const s = await engines.site();
     const a = s.link.ask(engines.wish("a"));
     await a.answer;
@@ -163,7 +164,7 @@
     expect(await s.link.ask(engines.wish("a")).answer).include({ instance: "i1+" });
   });
 
-  it("are out of reach while the endpoint daemon is away, and come back with it", async () => {
+  it("is unreachable to entry daemons while it is down, and grants seats again when it is back", async () => {
     const s = await engines.site();
     s.closeDoor();
     await engines.until(() => s.link.state === undefined);
@@ -173,7 +174,7 @@
     expect((await s.link.ask(engines.wish("a")).answer).kind).equal("grant");
   });
 
-  it("are let go with the connection of the entry daemon", async () => {
+  it("ends the seats of an entry daemon whose connection is closed", async () => {
     const s = await engines.site();
     await Promise.all(["a", "b"].map((name) => s.link.ask(engines.wish(name)).answer));
     s.closeDoor();
@@ -183,7 +184,7 @@
     expect((await s.link.ask(engines.wish("c")).answer).kind).equal("grant");
   });
 
-  it("end the connection of a peer that sends rubbish", async () => {
+  it("closes the connection of a peer that sends invalid messages", async () => {
     const s = await engines.site();
     const socket = net.connect(Number(s.link.address.split(":")[1]), "127.0.0.1");
     const closed = new Promise((resolve) => socket.once("close", resolve));
