--- a/test/serving/cold-start.test.ts
+++ b/test/serving/cold-start.test.ts
@@ -15,7 +15,7 @@
 
 interface Engine {
   state: residency.State;
-  warmth: warmth.Warmth;
+  history: warmth.Warmth;
   /** Loads in progress: the ms at full speed that each still takes, and the time of its order. */
   readonly loads: Map<string, { leftMs: number; readonly since: number }>;
 }
@@ -30,7 +30,7 @@
     const waiter: waiting.Waiter = { seat: key, key, model: MODEL, adapter, rank: 1, ...times };
     state = residency.ask(state, waiter, 0);
   }
-  return { state, warmth: warmth.UNKNOWN, loads: new Map() };
+  return { state, history: warmth.UNKNOWN, loads: new Map() };
 }
 
 /** Starts all loads that the engine should order now. */
@@ -63,7 +63,7 @@
   const all = Array.from({ length: engines }, (_, i) => engine(i, SLOTS));
   const loadedAt: number[] = [];
   for (let now = 0; now < SIMULATED_MS; now += STEP_MS) {
-    for (const e of all) startLoads(e, now, coldLoads(e.warmth));
+    for (const e of all) startLoads(e, now, coldLoads(e.history));
     const inProgress = all.reduce((sum, e) => sum + e.loads.size, 0);
     const speed = Math.min(1, atOnce / Math.max(1, inProgress));
     for (const e of all) {
@@ -73,7 +73,7 @@
         e.loads.delete(key);
         const slot = e.state.slots.get(key);
         if (slot) e.state = residency.put(e.state, { ...slot, phase: "resident" });
-        e.warmth = warmth.loaded(e.warmth, key, now - l.since);
+        e.history = warmth.loaded(e.history, key, now - l.since);
         loadedAt.push(now);
       }
     }
