--- a/src/serving/keeper.ts
+++ b/src/serving/keeper.ts
@@ -93,12 +93,14 @@
     }
   }
 
+  /** The next order, unless the engine is busy with another one. */
   private nextOrder(): residency.Action | undefined {
     const now = this.deps.clock.mono();
     if (this.orders.busyMs(now) > 0) return undefined;
     return residency.order(this.state, now, this.options());
   }
 
+  /** Stops {@link run} and the announcements. */
   stop(): void {
     this.stopped = true;
     this.announcer.close();
@@ -162,6 +164,7 @@
     this.announcer.asked(c);
   }
 
+  /** Whether a request should go to another engine, as it would be late here because of the wait. */
   private isDiverted(m: seat.Ask, key: string, ownMs: number, now: number): boolean {
     const isHeld = m.adapter === undefined || this.state.slots.has(key);
     const waitMs = listing.waitMs(this.view(now), m.rank, isHeld);
@@ -286,6 +289,7 @@
     return { ms: this.seatTable.readingMs(now), unbegun: this.seatTable.unbegun(now) };
   }
 
+  /** Milliseconds until the next poll of the engine is due. */
   private pollInMs(): number {
     return this.probe.dueInMs(this.instance !== "", this.state, this.warmth);
   }
--- a/src/serving/listing.ts
+++ b/src/serving/listing.ts
@@ -71,14 +71,14 @@
  * within `silenceMs`.
  */
 export function state(k: Known, entries: number, silenceMs: number): seat.State {
-  const { reading: speed } = k.seats;
+  const { reading: estimate } = k.seats;
   const eachSlotMs = k.seats.holdMs / k.slots;
   return {
     kind: "state",
     instance: k.instance,
     waitMs: k.seats.waits(k.now),
-    msPerToken: Number(reading.msPerToken(speed).toFixed(TOKEN_DECIMALS)),
-    firstMs: Math.round(reading.firstMs(speed)),
+    msPerToken: Number(reading.msPerToken(estimate).toFixed(TOKEN_DECIMALS)),
+    firstMs: Math.round(reading.firstMs(estimate)),
     slotMs: Math.round(slotMs(k.held, k.slots, eachSlotMs)),
     eachSlotMs: Math.round(eachSlotMs),
     coldMs: Math.round(k.warmth.coldMs),
--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -131,17 +131,17 @@
 }
 
 /**
- * Returns the seats to grant and the ones to deny as expired at `now`; `engine` is its current prefill
+ * Returns the seats to grant and the ones to deny as expired at `now`; `prefill` is its current prefill
  * load.
  */
 export function seats(
   s: State,
   now: number,
   opts: Options,
-  engine: Reading = IDLE,
+  prefill: Reading = IDLE,
 ): readonly Action[] {
   const out: Action[] = [];
-  let { ms, unbegun } = engine;
+  let { ms, unbegun } = prefill;
   for (const w of waiting.inOrder(s.waiting, now)) {
     const ready = isReady(s, w, now, opts);
     if (ready && ms <= GRANT_AHEAD_MS && unbegun < MAX_UNSTARTED) {
@@ -157,9 +157,9 @@
 }
 
 /** Milliseconds until the engine has room for another prompt; undefined if no waiter is ready for it. */
-export function readIn(s: State, now: number, opts: Options, engine: Reading): number | undefined {
+export function readIn(s: State, now: number, opts: Options, prefill: Reading): number | undefined {
   if (!s.waiting.some((w) => isReady(s, w, now, opts))) return undefined;
-  return Math.max(1, engine.ms - GRANT_AHEAD_MS);
+  return Math.max(1, prefill.ms - GRANT_AHEAD_MS);
 }
 
 /** Returns the next order for the engine, or slot to close, at `now`; orders are sent one at a time. */
