--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -131,8 +131,8 @@
 }
 
 /**
- * Returns the seats to grant and the ones to deny as expired at `now`; `prefill` is its current prefill
- * load.
+ * Returns the seats to grant and the ones to deny as expired at `now`; `prefill` is what the engine
+ * still has to read.
  */
 export function seats(
   s: State,
