--- a/src/serving/backlog.ts
+++ b/src/serving/backlog.ts
@@ -88,8 +88,8 @@
 export function began(b: Backlog, seat: string, ms: number, now: number): Backlog {
   const l = b.loads.get(seat);
   if (!l || l.began) return b;
-  const speed = reading.seen(b.reading, l.toRead, ms);
-  const next = { ...put(b, seat, { ...l, began: true }), reading: speed };
+  const updated = reading.seen(b.reading, l.toRead, ms);
+  const next = { ...put(b, seat, { ...l, began: true }), reading: updated };
   // The engine finished this prompt `firstMs` before the first event; it reads the other granted ones after it.
   let tokens = 0;
   for (const other of next.loads.values()) {
@@ -97,7 +97,7 @@
       continue;
     tokens += other.tokens;
   }
-  const readUntil = now - reading.firstMs(speed) + tokens * reading.msPerToken(speed);
+  const readUntil = now - reading.firstMs(updated) + tokens * reading.msPerToken(updated);
   return { ...next, readUntil };
 }
 
