--- a/src/serving/holders.ts
+++ b/src/serving/adapter-index.ts
@@ -5,17 +5,17 @@
  */
 
 /** Maps adapter keys to the addresses of the endpoint daemons whose engines have them. */
-export class Holders {
+export class AdapterIndex {
   private readonly byKey = new Map<string, Set<string>>();
 
   /** Records that the engine at `address`, which had the adapters `before`, has the adapters `now`. */
-  changed(address: string, before: ReadonlySet<string>, now: ReadonlySet<string>): void {
+  update(address: string, before: ReadonlySet<string>, now: ReadonlySet<string>): void {
     for (const key of before) if (!now.has(key)) this.remove(key, address);
     for (const key of now) if (!before.has(key)) this.add(key, address);
   }
 
   /** Addresses of the endpoint daemons whose engines have an adapter. */
-  of(key: string): ReadonlySet<string> {
+  addressesOf(key: string): ReadonlySet<string> {
     return this.byKey.get(key) ?? NO_ADDRESSES;
   }
 
--- a/src/serving/admission.ts
+++ b/src/serving/admission.ts
@@ -9,7 +9,7 @@
 import type * as choice from "./choice.js";
 
 /** What admission considers of a request; times are in ms. */
-export interface Standing {
+export interface RequestTimes {
   /** Urgency of its route; 0 is the most urgent. */
   readonly rank: number;
   /** Time from its arrival after which its first event is late. */
@@ -21,9 +21,9 @@
 }
 
 /** Whether a request is admitted; if not, why, and after how many milliseconds it should be retried. */
-export type Verdict =
+export type Decision =
   | { readonly kind: "serve" }
-  | { readonly kind: "refuse"; readonly why: string; readonly comeBackMs: number };
+  | { readonly kind: "refuse"; readonly why: string; readonly retryAfterMs: number };
 
 /**
  * Longest admitted waiting time by rank, as a fraction of the target. At 1, an answer is late even if it took no time
@@ -33,20 +33,20 @@
 const MAX_WAIT_RATIO_BY_RANK = [1.4, 1.3, 1.0] as const;
 
 /** Decides whether a request is admitted, by the estimate of its best endpoint. */
-export function judge(r: Standing, best: choice.Estimate): Verdict {
+export function decide(r: RequestTimes, best: choice.Estimate): Decision {
   if (best.firstMs > r.leftMs) {
     const why = `the first event would come in ${Math.round(best.firstMs)} ms, after the deadline`;
-    return { kind: "refuse", why, comeBackMs: best.firstMs - best.ownMs };
+    return { kind: "refuse", why, retryAfterMs: best.firstMs - best.serviceMs };
   }
-  const waitMs = best.firstMs - best.ownMs;
+  const waitMs = best.firstMs - best.serviceMs;
   const maxRatio = MAX_WAIT_RATIO_BY_RANK[r.rank] ?? MAX_WAIT_RATIO_BY_RANK[2];
   if (waitMs <= r.targetMs * maxRatio) return { kind: "serve" };
   const why = `it would wait ${Math.round(waitMs)} ms before it is begun`;
-  return { kind: "refuse", why, comeBackMs: waitMs };
+  return { kind: "refuse", why, retryAfterMs: waitMs };
 }
 
 /** Longest wait in milliseconds until a worker's limit admits a request; above it, the request goes elsewhere. */
-export const TURN_MS = 500;
+export const MAX_LIMIT_WAIT_MS = 500;
 
 /** Longest wait while there is no usable endpoint, as a fraction of the target; refusals must come early. */
 const ENDPOINT_WAIT_RATIO = 0.2;
@@ -61,12 +61,12 @@
 const SEAT_WAIT_RATIO = 0.6;
 
 /** Milliseconds for which a request may wait while no endpoint is usable; longer if an engine is starting. */
-export function absentMs(r: Standing, isStarting: boolean): number {
-  return isStarting ? holdMs(r) : r.targetMs * ENDPOINT_WAIT_RATIO;
+export function maxEndpointWaitMs(r: RequestTimes, isStarting: boolean): number {
+  return isStarting ? maxSeatWaitMs(r) : r.targetMs * ENDPOINT_WAIT_RATIO;
 }
 
 /** Milliseconds for which a request may wait for a seat; after that it is better that its caller is told to retry. */
-export function holdMs(r: Standing): number {
+export function maxSeatWaitMs(r: RequestTimes): number {
   const gapsMs = Number.isFinite(r.gapMs) ? PATIENCE_GAPS * r.gapMs : 0;
   const patienceMs = Math.max(PATIENCE_MS, PATIENCE_TARGETS * r.targetMs, gapsMs);
   return SEAT_WAIT_RATIO * Math.min(r.leftMs, patienceMs);
@@ -79,7 +79,7 @@
  * Milliseconds after which a caller should retry where a worker accepts requests again in `availableInMs`; `random` is
  * 0 or more and less than 1.
  */
-export function returnMs(availableInMs: number, random: number): number {
+export function retryWhenOpenMs(availableInMs: number, random: number): number {
   return availableInMs + random * RETRY_SPREAD_MS;
 }
 
@@ -91,9 +91,9 @@
  * Milliseconds after which a caller is told to retry where it is unknown when the request can be served: about the time
  * for a daemon to start and for an engine to load a base model from its disk.
  */
-export const UNKNOWN_MS = 1500;
+export const DEFAULT_RETRY_AFTER_MS = 1500;
 
 /** Milliseconds after which a refused caller should retry, limited so that it still has time then. */
-export function comeBack(wantedMs: number, leftMs: number): number {
+export function retryAfterMs(wantedMs: number, leftMs: number): number {
   return Math.min(Math.max(0, leftMs) * MAX_RETRY_RATIO, Math.max(MIN_RETRY_MS, wantedMs));
 }
--- a/src/serving/choice.ts
+++ b/src/serving/choice.ts
@@ -25,25 +25,25 @@
   /** The last holdings that its endpoint daemon sent. */
   readonly holdings: Holdings | undefined;
   /** Number of this host's requests in flight there. */
-  readonly own: number;
+  readonly inFlight: number;
   /** Prompt tokens of the seats that this host requested since it received the state. */
-  readonly ownTokens: number;
+  readonly pendingTokens: number;
   /** Seats that this host requested since it received the state for adapters that were not resident. */
-  readonly ownSlots: number;
+  readonly pendingSlots: number;
   /** Fraction of this host's latest requests there that failed, 0 to 1. */
-  readonly failing: number;
+  readonly failureRate: number;
   /** Average latency of this host's latest requests there, in milliseconds; 0 before the first. */
-  readonly tookMs: number;
+  readonly latencyMs: number;
   /** Whether its engine is starting: it runs without its base model yet, or its daemon was not connected yet. */
-  readonly coming: boolean;
+  readonly isStarting: boolean;
   /** Its index in the order in which all hosts try engines for the adapter; 0 is tried first. */
-  readonly place: number;
+  readonly orderIndex: number;
   /** Milliseconds since its state was received. */
-  readonly ageMs: number;
+  readonly stateAgeMs: number;
   /** Milliseconds until the limit that it announced admits one more request; 0 where it has no limit. */
-  readonly limitedMs: number;
+  readonly limitWaitMs: number;
   /** Milliseconds until it accepts a request of this host, regardless of its limit; Infinity where it is leaving. */
-  readonly opensInMs: number;
+  readonly availableInMs: number;
 }
 
 /** What a request requires of an endpoint. */
@@ -68,9 +68,9 @@
   /** Estimated time until the first event; Infinity where the endpoint cannot serve the request. */
   readonly firstMs: number;
   /** The part of `firstMs` that remains on an idle endpoint, where the request waits for nothing. */
-  readonly ownMs: number;
+  readonly serviceMs: number;
   /** Further costs: loads that delay other requests, failures, distance. */
-  readonly extraMs: number;
+  readonly penaltyMs: number;
 }
 
 /**
@@ -98,27 +98,27 @@
  */
 function estimateWithoutState(view: View, need: Need, basePenaltyMs: number): Estimate {
   const usable =
-    view.holdings?.models.includes(need.model) && holding(view, need.key) === "resident";
+    view.holdings?.models.includes(need.model) && adapterState(view, need.key) === "resident";
   const idleMs = reading.expectedMs(reading.UNKNOWN, need.promptTokens);
   return {
     view,
     firstMs: usable ? idleMs : Infinity,
-    ownMs: idleMs,
-    extraMs: basePenaltyMs + UNKNOWN_STATE_PENALTY_MS,
+    serviceMs: idleMs,
+    penaltyMs: basePenaltyMs + UNKNOWN_STATE_PENALTY_MS,
   };
 }
 
 /** The engines that can serve a request, best first. */
-export function engines(views: readonly View[], need: Need): readonly Estimate[] {
+export function rankEngines(views: readonly View[], need: Need): readonly Estimate[] {
   const usable = views.filter((v) => isUsable(v, need));
   const summary: FleetSummary = {
-    hasAdapter: usable.some((v) => holding(v, need.key) !== "absent"),
+    hasAdapter: usable.some((v) => adapterState(v, need.key) !== "absent"),
     meanWaitMs: meanWaitMsOf(usable, need.rank),
   };
   return usable
     .map((view) => estimate(view, need, summary))
     .filter((e) => Number.isFinite(e.firstMs))
-    .sort((a, b) => a.firstMs + a.extraMs - (b.firstMs + b.extraMs));
+    .sort((a, b) => a.firstMs + a.penaltyMs - (b.firstMs + b.penaltyMs));
 }
 
 /**
@@ -126,8 +126,8 @@
  * the request soon, or the request already waits there.
  */
 function isUsable(v: View, need: Pick<Need, "tried" | "waitsAt">): boolean {
-  if (v.opensInMs > 0 || need.tried.has(v.endpoint.id)) return false;
-  return v.limitedMs <= admission.TURN_MS || need.waitsAt === v.endpoint.id;
+  if (v.availableInMs > 0 || need.tried.has(v.endpoint.id)) return false;
+  return v.limitWaitMs <= admission.MAX_LIMIT_WAIT_MS || need.waitsAt === v.endpoint.id;
 }
 
 /** What the estimate of one candidate takes from all candidates. */
@@ -166,51 +166,52 @@
 }
 
 /** Whether an adapter is resident, warm or absent on an engine, by the last holdings received. */
-export function holding(v: View, key: string | undefined): "resident" | "warm" | "absent" {
+export function adapterState(v: View, key: string | undefined): "resident" | "warm" | "absent" {
   if (key === undefined || v.holdings?.resident.includes(key)) return "resident";
   return v.holdings?.warm.includes(key) ? "warm" : "absent";
 }
 
 function estimate(view: View, need: Need, summary: FleetSummary): Estimate {
-  const { state, holdings, place } = view;
+  const { state, holdings, orderIndex: place } = view;
   const domainPenaltyMs = view.endpoint.domain === need.domain ? 0 : DOMAIN_PENALTY_MS;
-  const failurePenaltyMs = Math.max(view.failing, state?.failing ?? 0) ** 2 * FAILURE_PENALTY_MS;
+  const failurePenaltyMs =
+    Math.max(view.failureRate, state?.failing ?? 0) ** 2 * FAILURE_PENALTY_MS;
   const basePenaltyMs = domainPenaltyMs + failurePenaltyMs;
   if (!state) return estimateWithoutState(view, need, basePenaltyMs);
   const idleMs = state.firstMs + need.promptTokens * state.msPerToken;
   if (state.instance === "" || !holdings?.models.includes(need.model)) {
-    return { view, firstMs: Infinity, ownMs: idleMs, extraMs: basePenaltyMs };
+    return { view, firstMs: Infinity, serviceMs: idleMs, penaltyMs: basePenaltyMs };
   }
   // Where the request already waits, the engine's backlog includes its tokens.
   const countedTokens = need.waitsAt === view.endpoint.id ? need.promptTokens : 0;
-  const ownQueueMs = (view.ownTokens - countedTokens) * state.msPerToken;
+  const ownQueueMs = (view.pendingTokens - countedTokens) * state.msPerToken;
   const reportedMs = decayedWaitMs(
     reportedWaitMs(state, need.rank),
-    view.ageMs,
+    view.stateAgeMs,
     summary.meanWaitMs,
   );
-  const limitedMs = need.waitsAt === view.endpoint.id ? 0 : view.limitedMs;
+  const limitedMs = need.waitsAt === view.endpoint.id ? 0 : view.limitWaitMs;
   const queueMs = Math.max(0, reportedMs + ownQueueMs, limitedMs);
   const latePenaltyMs = (firstMs: number): number =>
     firstMs > need.targetMs ? LATE_PENALTY_LOADS * state.coldMs : 0;
   // The same holds for the slot it waits for. Otherwise the request would move to another engine at each comparison.
   const countedSlotMs = need.waitsAt === view.endpoint.id ? state.eachSlotMs : 0;
-  const slotMs = Math.max(0, state.slotMs + view.ownSlots * state.eachSlotMs - countedSlotMs);
-  switch (holding(view, need.key)) {
+  const slotMs = Math.max(0, state.slotMs + view.pendingSlots * state.eachSlotMs - countedSlotMs);
+  switch (adapterState(view, need.key)) {
     case "resident":
       return {
         view,
         firstMs: queueMs + idleMs,
-        ownMs: idleMs,
-        extraMs: basePenaltyMs + latePenaltyMs(queueMs + idleMs) + place * ORDER_PENALTY_MS,
+        serviceMs: idleMs,
+        penaltyMs: basePenaltyMs + latePenaltyMs(queueMs + idleMs) + place * ORDER_PENALTY_MS,
       };
     case "warm": {
       const firstMs = Math.max(queueMs, slotMs + state.warmMs) + idleMs;
       return {
         view,
         firstMs,
-        ownMs: idleMs,
-        extraMs: basePenaltyMs + latePenaltyMs(firstMs) + place * ORDER_PENALTY_MS,
+        serviceMs: idleMs,
+        penaltyMs: basePenaltyMs + latePenaltyMs(firstMs) + place * ORDER_PENALTY_MS,
       };
     }
     case "absent": {
@@ -219,8 +220,9 @@
       return {
         view,
         firstMs,
-        ownMs: idleMs,
-        extraMs: basePenaltyMs + latePenaltyMs(firstMs) + copyPenaltyMs + place * ORDER_PENALTY_MS,
+        serviceMs: idleMs,
+        penaltyMs:
+          basePenaltyMs + latePenaltyMs(firstMs) + copyPenaltyMs + place * ORDER_PENALTY_MS,
       };
     }
   }
@@ -230,7 +232,7 @@
 const DEFAULT_CALL_MS = 50;
 
 /** The endpoints of a plain service that can serve a request, best first. `random` breaks ties. */
-export function plain(
+export function rankPlain(
   views: readonly View[],
   need: Pick<Need, "domain" | "tried">,
   random: () => number,
@@ -240,23 +242,23 @@
     .filter((v) => isUsable(v, need))
     .map((view) => {
       const domainPenaltyMs = view.endpoint.domain === need.domain ? 0 : DOMAIN_PENALTY_MS;
-      const idleMs = view.tookMs > 0 ? view.tookMs : meanMs;
-      const busyMs = idleMs * (1 + (2 * view.own) / Math.max(1, view.endpoint.seats));
-      const firstMs = view.limitedMs + busyMs;
-      const failurePenaltyMs = view.failing ** 2 * FAILURE_PENALTY_MS;
+      const idleMs = view.latencyMs > 0 ? view.latencyMs : meanMs;
+      const busyMs = idleMs * (1 + (2 * view.inFlight) / Math.max(1, view.endpoint.seats));
+      const firstMs = view.limitWaitMs + busyMs;
+      const failurePenaltyMs = view.failureRate ** 2 * FAILURE_PENALTY_MS;
       return {
         view,
         firstMs,
-        ownMs: idleMs,
-        extraMs: domainPenaltyMs + failurePenaltyMs + random() * DOMAIN_PENALTY_MS,
+        serviceMs: idleMs,
+        penaltyMs: domainPenaltyMs + failurePenaltyMs + random() * DOMAIN_PENALTY_MS,
       };
     })
-    .sort((a, b) => a.firstMs + a.extraMs - (b.firstMs + b.extraMs));
+    .sort((a, b) => a.firstMs + a.penaltyMs - (b.firstMs + b.penaltyMs));
 }
 
 /** Mean latency of the endpoints that were called. */
 function meanCallMs(views: readonly View[]): number {
-  const latencies = views.filter((v) => v.tookMs > 0).map((v) => v.tookMs);
+  const latencies = views.filter((v) => v.latencyMs > 0).map((v) => v.latencyMs);
   if (latencies.length === 0) return DEFAULT_CALL_MS;
   return latencies.reduce((sum, ms) => sum + ms, 0) / latencies.length;
 }
--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -13,7 +13,7 @@
 import * as sendChecks from "./send-checks.js";
 import * as progress from "./progress.js";
 import * as retries from "./retries.js";
-import * as seeker from "./seeker.js";
+import * as seatFinder from "./seat-finder.js";
 import * as sending from "./sending.js";
 import type * as suspects from "./suspects.js";
 import type * as upstream from "./upstream.js";
@@ -27,7 +27,7 @@
   readonly retries: retries.Options;
 }
 
-export interface Deps extends seeker.Deps {
+export interface Deps extends seatFinder.Deps {
   readonly log: record.Log;
   readonly meters: meters.Meters;
   readonly upstream: upstream.Upstream;
@@ -44,15 +44,15 @@
 /** Times that one request may be withheld from a worker chosen for it; beyond that it is given up. */
 const MAX_WITHHELD = 6;
 /** Verdict for a request that was admitted earlier. */
-const SERVE: admission.Verdict = { kind: "serve" };
+const SERVE: admission.Decision = { kind: "serve" };
 /** Result of the search for a seat where the service has no engines and so needs none. */
-const SEATLESS: seeker.Found = { kind: "seatless" };
+const SEATLESS: seatFinder.SeatResult = { kind: "seatless" };
 
 /** Dispatches the requests of one entry daemon. */
 export class Dispatch {
   private readonly budget: retries.Budget;
   private readonly checks: sendChecks.SendChecks;
-  private readonly seeker: seeker.Seeker;
+  private readonly seeker: seatFinder.SeatFinder;
   private readonly sender: sending.Sender;
 
   constructor(
@@ -61,7 +61,7 @@
   ) {
     this.budget = new retries.Budget(opts.retries, deps.clock);
     this.checks = new sendChecks.SendChecks(this.budget, deps);
-    this.seeker = new seeker.Seeker(opts.domain, deps);
+    this.seeker = new seatFinder.SeatFinder(opts.domain, deps);
     this.sender = new sending.Sender({ ...deps, checks: this.checks });
   }
 
@@ -141,22 +141,22 @@
       const best = await this.seeker.pick(req, p, stopSignal);
       if (!best) return this.giveUp(req, res, p, false);
       // With so little time left to wait for a seat, each engine would deny it at once.
-      if (req.service.engine && this.seeker.heldMs(req, p) < MIN_REMAINING_MS) {
-        p.comeBackMs = best.firstMs - best.ownMs;
+      if (req.service.engine && this.seeker.seatWaitLeftMs(req, p) < MIN_REMAINING_MS) {
+        p.comeBackMs = best.firstMs - best.serviceMs;
         return this.giveUp(req, res, p, false);
       }
       p.expectedMs ??= Math.round(best.firstMs);
       // Admission is decided once: a request that was admitted and has waited is not refused because of later arrivals.
-      const verdict = p.judged ? SERVE : this.seeker.judge(req, best);
+      const verdict = p.judged ? SERVE : this.seeker.admit(req, best);
       if (verdict.kind === "refuse") {
-        p.comeBackMs = verdict.comeBackMs;
+        p.comeBackMs = verdict.retryAfterMs;
         p.why = verdict.why;
         return this.giveUp(req, res, p, false);
       }
       const permit = await this.acquirePermit(req, p, best.view, stopSignal);
       if (!permit) continue;
       const found = req.service.engine
-        ? await this.seeker.seat(req, best, p, stopSignal)
+        ? await this.seeker.acquireSeat(req, best, p, stopSignal)
         : SEATLESS;
       p.judged ||= found.kind !== "diverted";
       if (found.kind === "diverted" || found.kind === "elsewhere") {
--- a/src/serving/ending.ts
+++ b/src/serving/ending.ts
@@ -32,7 +32,7 @@
   }
   // A known time is told as it is, even if it lies beyond the caller's deadline.
   const knownMs = p.releaseMs ?? p.opensInMs;
-  const retryAfterMs = knownMs ?? admission.comeBack(p.comeBackMs, req.dueAt - clk.mono());
+  const retryAfterMs = knownMs ?? admission.retryAfterMs(p.comeBackMs, req.dueAt - clk.mono());
   res.refuse(UNAVAILABLE, p.why, retryAfterMs);
   return "refused";
 }
--- a/src/serving/endpoints.ts
+++ b/src/serving/endpoint-registry.ts
@@ -10,7 +10,7 @@
 import type * as choice from "./choice.js";
 import * as fleet from "./fleet.js";
 import type * as hearsay from "./hearsay.js";
-import * as holders from "./holders.js";
+import * as adapterIndex from "./adapter-index.js";
 import * as incarnation from "./incarnation.js";
 import * as limiter from "./limiter.js";
 import * as link from "./link.js";
@@ -58,7 +58,7 @@
  * Milliseconds for which a count of entry daemons is remembered. This is longer than most failures cut hosts off from
  * one another, and than the windows of the limits that entry daemons share.
  */
-export const HOSTS_MS = 60_000;
+export const HOST_COUNT_WINDOW_MS = 60_000;
 /** Maximum number of cached rings: those of a few services, each before and after an engine joined or left. */
 const MAX_RINGS = 8;
 
@@ -66,7 +66,7 @@
 interface OwnerCache {
   readonly endpointMap: catalog.Catalog["endpoints"];
   readonly config: catalog.Config | undefined;
-  readonly layout: fleet.Arrangement;
+  readonly layout: fleet.Layout;
   /** Addresses of endpoint daemons by key, the preferred owner first. */
   readonly byKey: Map<string, readonly string[]>;
 }
@@ -77,7 +77,7 @@
   readonly reason: meters.Reason;
 }
 
-const EMPTY_LAYOUT: fleet.Arrangement = { ring: ring.build([]), at: new Map() };
+const EMPTY_LAYOUT: fleet.Layout = { ring: ring.build([]), byAddress: new Map() };
 
 /** What the registry needs of the entry daemon. */
 export interface Deps extends Omit<
@@ -88,23 +88,23 @@
   /** `ip:port` of the endpoint daemon beside an endpoint. */
   readonly daemonOf: (e: catalog.Endpoint) => string;
   /** Milliseconds until the limit that an endpoint announced admits one more request. */
-  readonly limitedMs: (id: string) => number;
+  readonly limitWaitMs: (id: string) => number;
   /**
    * Milliseconds until an endpoint accepts a request of this host, regardless of its limit; Infinity where it is
    * leaving.
    */
-  readonly opensInMs: (e: catalog.Endpoint) => number;
+  readonly availableInMs: (e: catalog.Endpoint) => number;
   /** Returns a random number, 0 or more and less than 1. */
   readonly random: () => number;
 }
 
 /** The endpoints that an entry daemon knows, with its connections to the endpoint daemons beside engines. */
-export class Endpoints {
+export class EndpointRegistry {
   private readonly links = new Map<string, link.Link>();
   private readonly stats = new Map<string, LocalStats>();
   private readonly lossWatchers = new Map<string, Set<() => void>>();
-  private readonly holders = new holders.Holders();
-  private readonly layouts = new WeakMap<readonly catalog.Endpoint[], fleet.Arrangement>();
+  private readonly holders = new adapterIndex.AdapterIndex();
+  private readonly layouts = new WeakMap<readonly catalog.Endpoint[], fleet.Layout>();
   private rings: readonly ring.Ring[] = [];
   private readonly availabilityWatchers = new Set<() => void>();
   /** Cached owner candidates; replaced when the endpoints or the configuration change. */
@@ -132,20 +132,20 @@
   }
 
   /** Views of the engines of a service, created as a search needs them. */
-  fleet(service: catalog.Service): search.Fleet {
+  engineViews(service: catalog.Service): search.EngineViews {
     const layout = this.layoutOf(catalog.endpointsOf(this.deps.catalog(), service));
     const viewOf = (e: catalog.Endpoint, place: number): choice.View =>
       this.view(service, e, place);
-    return fleet.of(layout, this.holders, viewOf, this.deps.random);
+    return fleet.viewsFor(layout, this.holders, viewOf, this.deps.random);
   }
 
   /**
    * When the first endpoint of a service accepts one more request, by what the endpoints announced. Undefined where one
    * accepts requests now, or where all are leaving or there is none.
    */
-  opens(service: catalog.Service): Opening | undefined {
+  nextOpening(service: catalog.Service): Opening | undefined {
     const list = catalog.endpointsOf(this.deps.catalog(), service).map((e): Opening => {
-      const [opensInMs, limitedMs] = [this.deps.opensInMs(e), this.deps.limitedMs(e.id)];
+      const [opensInMs, limitedMs] = [this.deps.availableInMs(e), this.deps.limitWaitMs(e.id)];
       return limitedMs > opensInMs
         ? { inMs: limitedMs, reason: "limit" }
         : { inMs: opensInMs, reason: "pause" };
@@ -158,18 +158,18 @@
   }
 
   /** Whether an engine of a service is starting and not leaving. */
-  coming(service: catalog.Service): boolean {
+  hasStartingEngine(service: catalog.Service): boolean {
     if (!service.engine) return false;
     const list = catalog.endpointsOf(this.deps.catalog(), service);
     return list.some(
       (e) =>
-        this.deps.opensInMs(e) < Infinity &&
-        (this.links.get(this.deps.daemonOf(e))?.coming ?? true),
+        this.deps.availableInMs(e) < Infinity &&
+        (this.links.get(this.deps.daemonOf(e))?.isStarting ?? true),
     );
   }
 
   /** Calls `callback` whenever an endpoint may have become usable; returns a function that unsubscribes. */
-  whenSomeCome(callback: () => void): () => void {
+  onAvailable(callback: () => void): () => void {
     this.availabilityWatchers.add(callback);
     return () => this.availabilityWatchers.delete(callback);
   }
@@ -178,10 +178,10 @@
     for (const callback of this.availabilityWatchers) callback();
   }
 
-  private layoutOf(list: readonly catalog.Endpoint[]): fleet.Arrangement {
+  private layoutOf(list: readonly catalog.Endpoint[]): fleet.Layout {
     const cached = this.layouts.get(list);
     if (cached) return cached;
-    const layout = fleet.arrange(list, this.deps.daemonOf, this.rings);
+    const layout = fleet.buildLayout(list, this.deps.daemonOf, this.rings);
     this.layouts.set(list, layout);
     const others = this.rings.filter((r) => r !== layout.ring);
     this.rings = [layout.ring, ...others.slice(0, MAX_RINGS - 1)];
@@ -191,24 +191,24 @@
   private view(service: catalog.Service, endpoint: catalog.Endpoint, place: number): choice.View {
     const conn = service.engine && this.link(endpoint);
     const stats = this.stats.get(endpoint.id) ?? NO_STATS;
-    const opensInMs = this.deps.opensInMs(endpoint);
-    const isThisStart = conn?.state && incarnation.isSame(conn.state.instance, endpoint.id);
+    const opensInMs = this.deps.availableInMs(endpoint);
+    const isThisStart = conn?.state && incarnation.mayBeSame(conn.state.instance, endpoint.id);
     const state = isThisStart ? conn.state : undefined;
     const isOtherStart = conn?.state !== undefined && state === undefined;
     return {
       endpoint,
       state: isOtherStart ? { ...conn.state, instance: "" } : state,
       holdings: conn?.holdings,
-      own: stats.inFlight,
-      ownTokens: conn?.tokensSince ?? 0,
-      ownSlots: conn?.slotsSince ?? 0,
-      failing: failureRateNow(stats, this.clk.mono()),
-      tookMs: stats.latencyMs,
-      coming: opensInMs < Infinity && (conn?.coming ?? false),
-      place,
-      ageMs: conn?.ageMs ?? 0,
-      limitedMs: this.deps.limitedMs(endpoint.id),
-      opensInMs,
+      inFlight: stats.inFlight,
+      pendingTokens: conn?.pendingTokens ?? 0,
+      pendingSlots: conn?.pendingSlots ?? 0,
+      failureRate: failureRateNow(stats, this.clk.mono()),
+      latencyMs: stats.latencyMs,
+      isStarting: opensInMs < Infinity && (conn?.isStarting ?? false),
+      orderIndex: place,
+      stateAgeMs: conn?.stateAgeMs ?? 0,
+      limitWaitMs: this.deps.limitWaitMs(endpoint.id),
+      availableInMs: opensInMs,
     };
   }
 
@@ -225,13 +225,18 @@
             callback();
         },
         onAdaptersChanged: (before, now) => {
-          this.holders.changed(address, before, now);
+          this.holders.update(address, before, now);
         },
         onAvailable: () => {
           this.notifyAvailable();
         },
         onEntryCount: (entries) => {
-          this.entryCounts = peak.read(this.entryCounts, entries, this.clk.steady(), HOSTS_MS);
+          this.entryCounts = peak.read(
+            this.entryCounts,
+            entries,
+            this.clk.steady(),
+            HOST_COUNT_WINDOW_MS,
+          );
         },
       });
       this.links.set(address, conn);
@@ -257,7 +262,7 @@
     for (const [address, conn] of this.links) {
       if (wanted.has(address)) continue;
       conn.close();
-      this.holders.changed(address, conn.hand, new Set());
+      this.holders.update(address, conn.adaptersAtHand, new Set());
       this.links.delete(address);
     }
     this.unlinked = new Map(
@@ -296,7 +301,7 @@
    * Connections to up to `n` endpoint daemons that may own the shared state of `key`, the preferred one first. All hosts
    * that know the same engines get the same list.
    */
-  keepers(key: string, n: number): readonly link.Link[] {
+  ownerCandidates(key: string, n: number): readonly link.Link[] {
     const { config, endpoints } = this.deps.catalog();
     const services = [...(config?.services.values() ?? [])].filter((s) => s.engine);
     if (this.ownerCache.endpointMap !== endpoints || this.ownerCache.config !== config) {
@@ -312,7 +317,7 @@
     const daemons = byKey.get(key) ?? ring.successors(layout.ring, key, n, n).map((p) => p.name);
     byKey.set(key, daemons);
     return daemons.flatMap((address) => {
-      const [e] = layout.at.get(address) ?? [];
+      const [e] = layout.byAddress.get(address) ?? [];
       return e ? [this.link(e)] : [];
     });
   }
@@ -321,8 +326,8 @@
    * Connections to the endpoint daemons that announce a worker's limit to all hosts: those that may own it, and the
    * one beside the worker, from which each host requests a seat before it sends there.
    */
-  tellers(id: string): readonly link.Link[] {
-    const owners = this.keepers(limiter.placeKey(limiter.workerKey(id)), limiter.PLACES);
+  limitAnnouncers(id: string): readonly link.Link[] {
+    const owners = this.ownerCandidates(limiter.placeKey(limiter.workerKey(id)), limiter.PLACES);
     const e = this.deps.catalog().endpoints.get(incarnation.workerOf(id));
     const besideWorker = e && this.links.get(this.deps.daemonOf(e));
     return [...new Set([...owners, ...(besideWorker ? [besideWorker] : [])])];
@@ -330,7 +335,7 @@
 
   /** Sends a message to a few of the connected endpoint daemons, for the same key to the same ones. */
   relay(key: string, m: hearsay.Message): void {
-    const connected = [...this.links.values()].filter((l) => l.isReached);
+    const connected = [...this.links.values()].filter((l) => l.isConnected);
     const ordered = connected.map((l) => ({ l, score: hash.of32(`${key} ${l.address}`) }));
     ordered.sort((a, b) => a.score - b.score);
     for (const { l } of ordered.slice(0, RELAY_TARGETS)) l.send(m);
@@ -349,13 +354,13 @@
   }
 
   /** Records that a request was sent to an endpoint. */
-  sent(id: string): void {
+  requestStarted(id: string): void {
     const stats = this.stats.get(id) ?? NO_STATS;
     this.stats.set(id, { ...stats, inFlight: stats.inFlight + 1 });
   }
 
   /** Records that a request has ended; `good` is undefined when it tells nothing about the endpoint. */
-  done(id: string, good: boolean | undefined, tookMs: number | undefined): void {
+  requestEnded(id: string, good: boolean | undefined, tookMs: number | undefined): void {
     const stats = this.stats.get(id) ?? NO_STATS;
     const now = this.clk.mono();
     const decayed = failureRateNow(stats, now);
--- a/src/serving/entry-host.ts
+++ b/src/serving/entry-host.ts
@@ -11,7 +11,7 @@
 import * as clock from "../host/clock.js";
 import type * as door from "./door.js";
 import * as dispatch from "./dispatch.js";
-import * as endpoints from "./endpoints.js";
+import * as endpointRegistry from "./endpoint-registry.js";
 import * as feed from "./feed.js";
 import * as front from "./front.js";
 import * as host from "./host.js";
@@ -93,26 +93,26 @@
     },
     claim: (key, ttlMs, text) => deps.source.claim(key, ttlMs, text),
   });
-  const registry: endpoints.Endpoints = new endpoints.Endpoints(
+  const registry: endpointRegistry.EndpointRegistry = new endpointRegistry.EndpointRegistry(
     {
       clock: deps.clock,
       log: deps.log("link"),
       host: opts.host,
       catalog: () => catalogFeed.catalog,
       daemonOf: opts.daemonOf,
-      suspicion: (m, peer) => {
+      onSuspicion: (m, peer) => {
         suspectTracker.hear(m, peer);
       },
-      notice: (m, peer) => {
+      onNotice: (m, peer) => {
         notices.learn(m, peer);
       },
-      greeting: (address) => [
+      messagesOnConnect: (address) => [
         ...suspectTracker.retold(),
-        ...notices.retold((id) => registry.tellers(id).some((l) => l.address === address)),
+        ...notices.retold((id) => registry.limitAnnouncers(id).some((l) => l.address === address)),
         ...sharedLimiter.greeting(address),
       ],
-      limitedMs: (id) => notices.waitMs(id),
-      opensInMs: (e) => notices.opensInMs(e),
+      limitWaitMs: (id) => notices.waitMs(id),
+      availableInMs: (e) => notices.opensInMs(e),
       random: deps.random,
     },
     deps.clock,
@@ -121,7 +121,7 @@
     clock: deps.clock,
     log: deps.log("limiter"),
     totals: () => [...caps.totals(catalogFeed.catalog.config, opts.overdraft), ...notices.totals()],
-    places: (key, n) => registry.keepers(key, n),
+    places: (key, n) => registry.ownerCandidates(key, n),
     hosts: () => registry.mostHosts(),
   });
   const notices = new workerNotices.WorkerNotices({
@@ -129,7 +129,7 @@
     log: deps.log("notices"),
     limiter: sharedLimiter,
     tell: (e, m) => {
-      for (const l of registry.tellers(e.id)) l.send(m);
+      for (const l of registry.limitAnnouncers(e.id)) l.send(m);
     },
     random: deps.random,
   });
--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -6,15 +6,15 @@
 import * as ring from "../contract/ring.js";
 import type * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
-import type * as holders from "./holders.js";
+import type * as adapterIndex from "./adapter-index.js";
 import * as search from "./search.js";
 
 /** The engines of a service, arranged by the addresses of their endpoint daemons. */
-export interface Arrangement {
+export interface Layout {
   /** Consistent-hash ring of the addresses. */
   readonly ring: ring.Ring;
   /** The endpoints at each address: two while one incarnation replaces another. */
-  readonly at: ReadonlyMap<string, readonly catalog.Endpoint[]>;
+  readonly byAddress: ReadonlyMap<string, readonly catalog.Endpoint[]>;
 }
 
 /** Number of failure domains over which the first engines in an adapter's order are spread. */
@@ -24,11 +24,11 @@
  * Arranges the endpoints `list` by the addresses that `daemonOf` returns. A ring of `cachedRings` that has the same
  * addresses is reused, since a new incarnation at an address does not change the ring.
  */
-export function arrange(
+export function buildLayout(
   list: readonly catalog.Endpoint[],
   daemonOf: (e: catalog.Endpoint) => string,
   cachedRings: readonly ring.Ring[],
-): Arrangement {
+): Layout {
   const endpointsAt = new Map<string, readonly catalog.Endpoint[]>();
   for (const e of list) {
     const address = daemonOf(e);
@@ -37,29 +37,31 @@
   const cached = cachedRings.find(
     (r) => r.places.length === endpointsAt.size && r.places.every((p) => endpointsAt.has(p.name)),
   );
-  if (cached) return { at: endpointsAt, ring: cached };
+  if (cached) return { byAddress: endpointsAt, ring: cached };
   const places = [...endpointsAt].map(([name, [e]]) => ({ name, failureDomain: e?.domain ?? "" }));
-  return { at: endpointsAt, ring: ring.build(places) };
+  return { byAddress: endpointsAt, ring: ring.build(places) };
 }
 
 /** The views of the engines in a layout, for a search. `adapters` tells which engines have an adapter. */
-export function of(
-  layout: Arrangement,
-  adapters: holders.Holders,
+export function viewsFor(
+  layout: Layout,
+  adapters: adapterIndex.AdapterIndex,
   viewOf: (e: catalog.Endpoint, place: number) => choice.View,
   random: () => number,
-): search.Fleet {
+): search.EngineViews {
   const viewsAt = (address: string, place: number): readonly choice.View[] =>
-    (layout.at.get(address) ?? []).map((e) => viewOf(e, place));
+    (layout.byAddress.get(address) ?? []).map((e) => viewOf(e, place));
   return {
     inOrder: (key, n) =>
       ring
         .successors(layout.ring, key, n, FIRST_DOMAINS)
         .flatMap((p, place) => viewsAt(p.name, place)),
-    having: (key) => {
-      const addresses = [...adapters.of(key)].filter((address) => layout.at.has(address));
-      return sample(addresses, search.HOLDERS, random).flatMap((address) =>
-        viewsAt(address, search.ELSEWHERE),
+    withAdapter: (key) => {
+      const addresses = [...adapters.addressesOf(key)].filter((address) =>
+        layout.byAddress.has(address),
+      );
+      return sample(addresses, search.HOLDER_SAMPLE, random).flatMap((address) =>
+        viewsAt(address, search.HOLDER_ORDER_INDEX),
       );
     },
   };
--- a/src/serving/incarnation.ts
+++ b/src/serving/incarnation.ts
@@ -24,22 +24,22 @@
 }
 
 /** The start time of an incarnation in Unix ms; undefined where the worker does not report it. */
-export function bornOf(id: string): number | undefined {
+export function startOf(id: string): number | undefined {
   const index = id.lastIndexOf(SEPARATOR);
   return index < 0 || index === id.length - 1 ? undefined : Number(id.slice(index + 1));
 }
 
 /** Whether two ids may denote the same incarnation: the same worker, and not two different start times. */
-export function isSame(a: string, b: string): boolean {
+export function mayBeSame(a: string, b: string): boolean {
   if (a === b) return true;
   if (workerOf(a) !== workerOf(b)) return false;
-  const [startA, startB] = [bornOf(a), bornOf(b)];
+  const [startA, startB] = [startOf(a), startOf(b)];
   return startA === undefined || startB === undefined || startA === startB;
 }
 
 /** Whether `a` is known to be an earlier incarnation of the same worker than `b`. */
 export function isOlder(a: string, b: string): boolean {
-  const [startA, startB] = [bornOf(a), bornOf(b)];
+  const [startA, startB] = [startOf(a), startOf(b)];
   if (startA === undefined || startB === undefined) return false;
   return workerOf(a) === workerOf(b) && startA < startB;
 }
--- a/src/serving/keeper.ts
+++ b/src/serving/keeper.ts
@@ -317,7 +317,7 @@
     answer,
   }: Extract<probe.Finding, { kind: "report" }>): void {
     if (name !== undefined) this.engineFound(incarnation.idOf(name, report.born));
-    const isRestarted = incarnation.bornOf(this.instance) !== report.born;
+    const isRestarted = incarnation.startOf(this.instance) !== report.born;
     if (isRestarted || !this.orders.heard(report.sequence)) {
       this.deps.log.warn("The engine started anew.", { instance: this.instance });
       this.engineLost();
--- a/src/serving/link.ts
+++ b/src/serving/link.ts
@@ -54,15 +54,15 @@
   | { readonly kind: "unreachable" };
 
 /** What a request for a seat tells the endpoint daemon. */
-export type Wish = Omit<Extract<seat.FromEntry, { kind: "ask" }>, "kind" | "seat">;
+export type SeatRequest = Omit<Extract<seat.FromEntry, { kind: "ask" }>, "kind" | "seat">;
 
 /** A seat that was requested, granted or not. */
-export interface Seat {
+export interface PendingSeat {
   readonly answer: Promise<Answer>;
   /** Reports that the first event came after `ms` milliseconds. */
   readonly began: (ms: number) => void;
   /** Gives the seat back, or withdraws the request for it; `how` tells how the request ended. */
-  readonly over: (how: Extract<seat.FromEntry, { kind: "over" }>["how"]) => void;
+  readonly release: (how: Extract<seat.FromEntry, { kind: "over" }>["how"]) => void;
 }
 
 /** What a connection needs, and the callbacks that it calls. */
@@ -80,11 +80,11 @@
   /** Called with the number of entry daemons that the endpoint daemon says are connected to it. */
   readonly onEntryCount: (entries: number) => void;
   /** Called with a message about requests that crash workers. */
-  readonly suspicion: (m: hearsay.Message, peer: string) => void;
+  readonly onSuspicion: (m: hearsay.Message, peer: string) => void;
   /** Called with a message that relays what a worker announced about itself. */
-  readonly notice: (m: noticeMessages.Notice, peer: string) => void;
+  readonly onNotice: (m: noticeMessages.Notice, peer: string) => void;
   /** The messages to send to the endpoint daemon at an address once it is connected. */
-  readonly greeting: (address: string) => readonly seat.FromEntry[];
+  readonly messagesOnConnect: (address: string) => readonly seat.FromEntry[];
 }
 
 /** A seat request that has no answer yet. */
@@ -140,7 +140,7 @@
   }
 
   /** Milliseconds since the last state was received. */
-  get ageMs(): number {
+  get stateAgeMs(): number {
     return this.deps.clock.mono() - this.stateReceivedAt;
   }
 
@@ -150,29 +150,29 @@
   }
 
   /** Keys of the adapters that are resident or warm on the engine, by the last holdings received. */
-  get hand(): ReadonlySet<string> {
+  get adaptersAtHand(): ReadonlySet<string> {
     return this.currentAdapters;
   }
 
   /** Whether the engine is starting: its daemon has not been connected yet, or the engine has no base model yet. */
-  get coming(): boolean {
+  get isStarting(): boolean {
     if (this.lastState)
       return this.lastState.instance !== "" && (this.lastHoldings?.models.length ?? 0) === 0;
     return this.lastHoldings === undefined && this.deps.clock.mono() - this.createdAt < STARTING_MS;
   }
 
   /** Prompt tokens of the seats requested since the last state was received. */
-  get tokensSince(): number {
+  get pendingTokens(): number {
     return this.tokensSinceState;
   }
 
   /** Seats requested since the last state was received for adapters that were not resident on the engine. */
-  get slotsSince(): number {
+  get pendingSlots(): number {
     return this.slotsSinceState;
   }
 
   /** Whether the endpoint daemon is connected. */
-  get isReached(): boolean {
+  get isConnected(): boolean {
     return this.channel !== undefined;
   }
 
@@ -186,7 +186,7 @@
    * so, or its process ended.
    */
   get isForgotten(): boolean {
-    return !this.isReached && this.closedByPeer;
+    return !this.isConnected && this.closedByPeer;
   }
 
   /** Sends a message that has no answer; drops it while the endpoint daemon is not connected. */
@@ -211,7 +211,7 @@
   }
 
   /** Requests a seat. */
-  ask(req: Wish): Seat {
+  ask(req: SeatRequest): PendingSeat {
     const n = this.nextNumber++;
     const { channel } = this;
     if (!channel) return { answer: Promise.resolve({ kind: "unreachable" }), ...NO_CONNECTION };
@@ -230,7 +230,7 @@
       began: (ms) => {
         channel.send({ kind: "began", seat: n, ms });
       },
-      over: (how) => {
+      release: (how) => {
         this.settle(n, { kind: "unreachable" });
         channel.send({ kind: "over", seat: n, how });
       },
@@ -264,7 +264,7 @@
       this.connectedAt = this.lastHeardAt;
       this.hasNamedEngine = false;
       channel.send({ kind: "hello", host: this.deps.host });
-      for (const m of this.deps.greeting(this.address)) channel.send(m);
+      for (const m of this.deps.messagesOnConnect(this.address)) channel.send(m);
       this.deps.log.info("An endpoint daemon is reached.", { peer: this.address });
       this.scheduleSilenceCheck();
     });
@@ -317,10 +317,10 @@
         this.draws.settle(m.draw, m);
         break;
       case "suspicion":
-        this.deps.suspicion(m, this.address);
+        this.deps.onSuspicion(m, this.address);
         break;
       case "notice":
-        this.deps.notice(m, this.address);
+        this.deps.onNotice(m, this.address);
         break;
     }
   }
@@ -418,4 +418,4 @@
   }
 }
 
-const NO_CONNECTION = { began: () => undefined, over: () => undefined };
+const NO_CONNECTION = { began: () => undefined, release: () => undefined };
--- a/src/serving/progress.ts
+++ b/src/serving/progress.ts
@@ -92,7 +92,7 @@
     lastId: a.meta.resumeAfter,
     why: "no endpoint is there",
     refusal: 503,
-    comeBackMs: admission.UNKNOWN_MS,
+    comeBackMs: admission.DEFAULT_RETRY_AFTER_MS,
     releaseMs: undefined,
     firstAt: undefined,
     expectedMs: undefined,
--- a/src/serving/search.ts
+++ b/src/serving/search.ts
@@ -11,11 +11,11 @@
 import * as choice from "./choice.js";
 
 /** Access to the views of the engines of one service. */
-export interface Fleet {
+export interface EngineViews {
   /** Views of the first `n` engines in the order for `key`, each with its index in that order. */
   readonly inOrder: (key: string, n: number) => readonly choice.View[];
   /** Views of up to {@link HOLDER_SAMPLE} engines on which an adapter is resident or warm, sampled at random. */
-  readonly having: (key: string) => readonly choice.View[];
+  readonly withAdapter: (key: string) => readonly choice.View[];
 }
 
 /**
@@ -27,24 +27,24 @@
  * Maximum number of engines sampled among those that have an adapter. By outdated states, all hosts would send to the
  * same best engine of all; the best of a small random sample differs between hosts.
  */
-export const HOLDERS = 8;
+export const HOLDER_SAMPLE = 8;
 /** Order index given to an engine that has the adapter and is not among the first in the adapter's order. */
-export const ELSEWHERE = 4;
+export const HOLDER_ORDER_INDEX = 4;
 
 /**
  * The engines that can serve a request, best first. `orderKey` is the key whose order is used for a request that names
  * no adapter.
  */
 export function find(
-  fleet: Fleet,
+  fleet: EngineViews,
   need: choice.Need,
   orderKey: string,
 ): readonly choice.Estimate[] {
-  const holders = need.key === undefined ? [] : fleet.having(need.key);
+  const holders = need.key === undefined ? [] : fleet.withAdapter(need.key);
   let found: readonly choice.Estimate[] = [];
   for (const width of WIDTHS) {
     const views = merge(fleet.inOrder(need.key ?? orderKey, width), holders);
-    found = choice.engines(views, need);
+    found = choice.rankEngines(views, need);
     const [best] = found;
     // All engines are compared only where none of the second width is usable; an engine that would be late is usable.
     if (best && (best.firstMs <= need.targetMs || width === WIDTHS[1])) break;
@@ -61,7 +61,7 @@
  */
 function isWorthWaiting(views: readonly choice.View[], width: number): boolean {
   const isFirst = width === WIDTHS[0];
-  return views.some((v) => v.coming && (!isFirst || v.state === undefined));
+  return views.some((v) => v.isStarting && (!isFirst || v.state === undefined));
 }
 
 /** Merges two lists of views, with each engine once. */
--- a/src/serving/seeker.ts
+++ b/src/serving/seat-finder.ts
@@ -7,7 +7,7 @@
 import type * as ask from "./ask.js";
 import * as catalog from "./catalog.js";
 import * as choice from "./choice.js";
-import type * as endpoints from "./endpoints.js";
+import type * as endpointRegistry from "./endpoint-registry.js";
 import type * as link from "./link.js";
 import type * as progress from "./progress.js";
 import * as search from "./search.js";
@@ -16,7 +16,7 @@
 /** What a seat finder needs of the entry daemon. */
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly endpoints: endpoints.Endpoints;
+  readonly endpoints: endpointRegistry.EndpointRegistry;
   readonly notices: Pick<workerNotices.WorkerNotices, "whenClosed">;
   readonly catalog: () => catalog.Catalog;
   readonly random: () => number;
@@ -43,14 +43,14 @@
 const ALL_CLOSED = "all workers that could run it leave, are at their limits or asked for a pause";
 
 /** A granted seat, with the adapter version and the engine's incarnation that it is for. */
-export interface Granted extends link.Seat {
+export interface GrantedSeat extends link.PendingSeat {
   readonly version: number | undefined;
   readonly instance: string;
 }
 
 /** Result of the attempt to get a seat on one engine. */
-export type Found =
-  | { readonly kind: "seat"; readonly seat: Granted }
+export type SeatResult =
+  | { readonly kind: "seat"; readonly seat: GrantedSeat }
   /** The request goes to the engine without a seat: its daemon is unreachable, but it may still have the adapter. */
   | { readonly kind: "seatless" }
   /** No seat on this engine; another engine may have one. */
@@ -59,7 +59,7 @@
   | { readonly kind: "diverted" };
 
 /** Picks endpoints, and gets seats on engines, for the requests of one entry daemon. */
-export class Seeker {
+export class SeatFinder {
   constructor(
     /** Failure domain of this host. */
     private readonly domain: string,
@@ -67,9 +67,9 @@
   ) {}
 
   /** Decides whether a request is admitted, by the estimate of its best endpoint. */
-  judge(a: ask.Ask, best: choice.Estimate): admission.Verdict {
+  admit(a: ask.Ask, best: choice.Estimate): admission.Decision {
     if (!a.service.engine) return { kind: "serve" };
-    return admission.judge(timesOf(a, this.deps.clock.mono()), best);
+    return admission.decide(timesOf(a, this.deps.clock.mono()), best);
   }
 
   /** Picks the best endpoint. Where none is usable, waits for a limited time until one is. */
@@ -81,12 +81,13 @@
     for (;;) {
       const best = this.candidates(a, p)[0];
       if (best || signal.aborted) return best;
-      const isStarting = this.deps.endpoints.coming(a.service);
-      const waitsUntil = p.waitsFrom + admission.absentMs(timesOf(a, p.waitsFrom), isStarting);
+      const isStarting = this.deps.endpoints.hasStartingEngine(a.service);
+      const waitsUntil =
+        p.waitsFrom + admission.maxEndpointWaitMs(timesOf(a, p.waitsFrom), isStarting);
       const leftMs = Math.min(a.dueAt, waitsUntil) - this.deps.clock.mono();
-      const opening = this.deps.endpoints.opens(a.service);
+      const opening = this.deps.endpoints.nextOpening(a.service);
       if (opening && !isStarting && opening.inMs > leftMs) {
-        p.opensInMs = admission.returnMs(opening.inMs, this.deps.random());
+        p.opensInMs = admission.retryWhenOpenMs(opening.inMs, this.deps.random());
         p.closedBy = opening.reason;
         p.why = ALL_CLOSED;
         return undefined;
@@ -108,7 +109,7 @@
         resolve();
       };
       const timer = this.deps.clock.after(ms, wake);
-      const unsubscribe = this.deps.endpoints.whenSomeCome(wake);
+      const unsubscribe = this.deps.endpoints.onAvailable(wake);
       signal.addEventListener("abort", wake, { once: true });
     });
   }
@@ -122,7 +123,7 @@
     const { domain } = this;
     if (!a.service.engine || !target) {
       const views = this.deps.endpoints.views(a.service);
-      return choice.plain(views, { domain, tried: p.tried }, this.deps.random);
+      return choice.rankPlain(views, { domain, tried: p.tried }, this.deps.random);
     }
     const need: choice.Need = {
       model: target.model,
@@ -134,21 +135,21 @@
       targetMs: a.arrivedAt + a.route.targetMs - this.deps.clock.mono(),
       waitsAt,
     };
-    return search.find(this.deps.endpoints.fleet(a.service), need, a.meta.id);
+    return search.find(this.deps.endpoints.engineViews(a.service), need, a.meta.id);
   }
 
   /** Milliseconds for which a request may still wait for a seat. */
-  heldMs(a: ask.Ask, p: progress.Progress): number {
-    return p.waitsFrom + admission.holdMs(timesOf(a, p.waitsFrom)) - this.deps.clock.mono();
+  seatWaitLeftMs(a: ask.Ask, p: progress.Progress): number {
+    return p.waitsFrom + admission.maxSeatWaitMs(timesOf(a, p.waitsFrom)) - this.deps.clock.mono();
   }
 
   /** Requests a seat on an engine and waits for the answer, or until the request should move to another engine. */
-  async seat(
+  async acquireSeat(
     a: ask.Ask,
     best: choice.Estimate,
     p: progress.Progress,
     signal: AbortSignal,
-  ): Promise<Found> {
+  ): Promise<SeatResult> {
     const { endpoint } = best.view;
     const { target } = a.meta;
     if (!target) return { kind: "seatless" };
@@ -163,11 +164,11 @@
       answerTokens: a.meta.answerTokens,
       rank: a.route.rank,
       targetMs: Math.max(0, a.arrivedAt + a.route.targetMs - now),
-      leftMs: Math.max(1, this.heldMs(a, p)),
+      leftMs: Math.max(1, this.seatWaitLeftMs(a, p)),
       firm: p.diverted.has(endpoint.id) || p.diverted.size >= MAX_DIVERSIONS,
     });
     const withdraw = (): void => {
-      pending.over("left");
+      pending.release("left");
     };
     signal.addEventListener("abort", withdraw, { once: true });
     const answer = await this.answerOrMove(a, p, best, pending);
@@ -192,7 +193,7 @@
         if (signal.aborted) return { kind: "elsewhere" };
         p.why = "the endpoint daemon is unreachable";
         // The engine may still have the adapter, and refuses a request for one that it does not have.
-        if (choice.holding(best.view, key) === "resident") return { kind: "seatless" };
+        if (choice.adapterState(best.view, key) === "resident") return { kind: "seatless" };
         p.tried.add(endpoint.id);
         return { kind: "elsewhere" };
     }
@@ -206,7 +207,7 @@
     a: ask.Ask,
     p: progress.Progress,
     best: choice.Estimate,
-    pending: link.Seat,
+    pending: link.PendingSeat,
   ): Promise<link.Answer | { readonly kind: "moved" }> {
     return new Promise((resolve) => {
       const { id } = best.view.endpoint;
@@ -214,7 +215,7 @@
       const move = (): void => {
         timer.cancel();
         resolve({ kind: "moved" });
-        pending.over("left");
+        pending.release("left");
       };
       const compare = (): void => {
         if (this.isSoonerElsewhere(a, p, id)) {
@@ -242,13 +243,13 @@
     const current = list.find((e) => e.view.endpoint.id === id);
     if (!best || best === current) return false;
     if (!current) return true;
-    const gainMs = current.firstMs + current.extraMs - (best.firstMs + best.extraMs);
+    const gainMs = current.firstMs + current.penaltyMs - (best.firstMs + best.penaltyMs);
     return gainMs > MIN_GAIN_MS;
   }
 }
 
 /** The rank, target and remaining time of a request at the monotonic ms `now`. */
-function timesOf(a: ask.Ask, now: number): admission.Standing {
+function timesOf(a: ask.Ask, now: number): admission.RequestTimes {
   const { rank, targetMs, gapMs } = a.route;
   return { rank, targetMs, gapMs, leftMs: a.dueAt - now };
 }
--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -7,7 +7,7 @@
 import type * as ask from "./ask.js";
 import type * as authentication from "./authentication.js";
 import * as catalog from "./catalog.js";
-import type * as endpoints from "./endpoints.js";
+import type * as endpointRegistry from "./endpoint-registry.js";
 import * as identity from "./identity.js";
 import type * as meters from "./meters.js";
 import type * as progress from "./progress.js";
@@ -19,7 +19,7 @@
   readonly log: record.Log;
   readonly catalog: () => catalog.Catalog;
   readonly meters: meters.Meters;
-  readonly endpoints: Pick<endpoints.Endpoints, "mostHosts">;
+  readonly endpoints: Pick<endpointRegistry.EndpointRegistry, "mostHosts">;
   readonly suspects: suspects.Suspects;
   readonly notices: Pick<workerNotices.WorkerNotices, "of" | "opensInMs" | "reason">;
   /** Checks again whether the key of an admitted request still authorizes it. */
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -8,7 +8,7 @@
 import type * as ask from "./ask.js";
 import * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
-import type * as endpoints from "./endpoints.js";
+import type * as endpointRegistry from "./endpoint-registry.js";
 import * as ending from "./ending.js";
 import * as events from "./events.js";
 import * as exchange from "./exchange.js";
@@ -18,7 +18,7 @@
 import type * as notices from "./notices.js";
 import type * as sendChecks from "./send-checks.js";
 import type * as progress from "./progress.js";
-import type * as seeker from "./seeker.js";
+import type * as seatFinder from "./seat-finder.js";
 import type * as suspects from "./suspects.js";
 import * as upstream from "./upstream.js";
 import * as sendWatchdog from "./watch.js";
@@ -28,7 +28,7 @@
   readonly clock: clock.Clock;
   readonly log: record.Log;
   readonly meters: meters.Meters;
-  readonly endpoints: endpoints.Endpoints;
+  readonly endpoints: endpointRegistry.EndpointRegistry;
   readonly upstream: upstream.Upstream;
   readonly suspects: suspects.Suspects;
   readonly notices: workerNotices.WorkerNotices;
@@ -63,7 +63,7 @@
     const sentAt = this.deps.clock.mono();
     const leftMs = Math.max(1, Math.floor(req.dueAt - sentAt));
     p.endpoint = endpoint.id;
-    this.deps.endpoints.sent(endpoint.id);
+    this.deps.endpoints.requestStarted(endpoint.id);
     const attributes = {
       instance: seat?.instance ?? endpoint.id,
       version: seat?.version,
@@ -201,12 +201,12 @@
   /** Returns the seat and records the end of a send; `succeeded` is undefined if it tells nothing about the endpoint. */
   private settle(
     send: SendState,
-    outcome: Parameters<link.Seat["over"]>[0],
+    outcome: Parameters<link.PendingSeat["release"]>[0],
     succeeded: boolean | undefined,
   ): void {
-    send.grants.seat?.over(outcome);
+    send.grants.seat?.release(outcome);
     const tookMs = outcome === "whole" ? this.deps.clock.mono() - send.sentAt : undefined;
-    this.deps.endpoints.done(send.endpoint.id, succeeded, tookMs);
+    this.deps.endpoints.requestEnded(send.endpoint.id, succeeded, tookMs);
   }
 
   /** Handles a lost connection, which may mean that the worker has ended. */
@@ -335,7 +335,7 @@
 /** The seat and the permit that a request holds for one send. */
 export interface Leave {
   /** Seat in the engine's batch; undefined for plain services, whose endpoints grant no seats. */
-  readonly seat: seeker.Granted | undefined;
+  readonly seat: seatFinder.GrantedSeat | undefined;
   readonly permit: workerNotices.Granted;
 }
 
--- a/src/serving/watch.ts
+++ b/src/serving/watch.ts
@@ -8,7 +8,7 @@
 import type * as ask from "./ask.js";
 import * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
-import type * as endpoints from "./endpoints.js";
+import type * as endpointRegistry from "./endpoint-registry.js";
 import type * as progress from "./progress.js";
 import type * as upstream from "./upstream.js";
 
@@ -37,7 +37,7 @@
   readonly mayGoOn: () => boolean;
   readonly clock: clock.Clock;
   readonly log: record.Log;
-  readonly endpoints: endpoints.Endpoints;
+  readonly endpoints: endpointRegistry.EndpointRegistry;
   readonly upstream: upstream.Upstream;
 }
 
--- a/src/serving/worker-notices.ts
+++ b/src/serving/worker-notices.ts
@@ -199,7 +199,7 @@
   async admit(e: catalog.Endpoint): Promise<Permit> {
     const total = this.total(e.id);
     if (!total) return this.unlimitedPermit(e);
-    const patienceMs = Math.min(admission.TURN_MS, this.waitMs(e.id) + TURN_MARGIN_MS);
+    const patienceMs = Math.min(admission.MAX_LIMIT_WAIT_MS, this.waitMs(e.id) + TURN_MARGIN_MS);
     const verdict = await this.deps.limiter.admit(total, 1, patienceMs);
     const now = this.deps.clock.mono();
     if (verdict.kind !== "in") {
@@ -284,7 +284,7 @@
       perS: Math.max(perS, MIN_PER_S),
       burst: BURST,
       overdraft: 0,
-      aheadMs: admission.TURN_MS,
+      aheadMs: admission.MAX_LIMIT_WAIT_MS,
       version,
     };
   }
--- a/test/serving/admission.test.ts
+++ b/test/serving/admission.test.ts
@@ -6,43 +6,43 @@
 
 const { expect } = chai;
 
-const REQUEST: admission.Standing = { rank: 1, targetMs: 800, gapMs: 250, leftMs: 5000 };
+const REQUEST: admission.RequestTimes = { rank: 1, targetMs: 800, gapMs: 250, leftMs: 5000 };
 
 function estimate(waitMs: number, ownMs: number): choice.Estimate {
   const view = fixtures.view("1");
-  return { view, firstMs: waitMs + ownMs, ownMs, extraMs: 0 };
+  return { view, firstMs: waitMs + ownMs, serviceMs: ownMs, penaltyMs: 0 };
 }
 
 describe("admission", () => {
   it("refuses nobody for its own size while there is time for it", () => {
     fc.assert(
       fc.property(fc.integer({ min: 0, max: 5000 }), (ownMs) => {
-        expect(admission.judge(REQUEST, estimate(0, ownMs)).kind).equal("serve");
+        expect(admission.decide(REQUEST, estimate(0, ownMs)).kind).equal("serve");
       }),
     );
   });
 
   it("refuses a request at once whose first event would come after its deadline", () => {
-    expect(admission.judge(REQUEST, estimate(0, 5100)).kind).equal("refuse");
-    expect(admission.judge({ ...REQUEST, leftMs: 300 }, estimate(100, 250)).kind).equal("refuse");
+    expect(admission.decide(REQUEST, estimate(0, 5100)).kind).equal("refuse");
+    expect(admission.decide({ ...REQUEST, leftMs: 300 }, estimate(100, 250)).kind).equal("refuse");
   });
 
   it("refuses a request that would wait longer than its target, and tells when that wait is over", () => {
-    const verdict = admission.judge(REQUEST, estimate(1200, 300));
+    const verdict = admission.decide(REQUEST, estimate(1200, 300));
     expect(verdict).deep.include({ kind: "refuse", comeBackMs: 1200 });
-    expect(admission.judge(REQUEST, estimate(900, 300)).kind).equal("serve");
+    expect(admission.decide(REQUEST, estimate(900, 300)).kind).equal("serve");
   });
 
   it("lets more urgent requests wait longer", () => {
     const best = estimate(1000, 100);
-    expect(admission.judge({ ...REQUEST, rank: 0 }, best).kind).equal("serve");
-    expect(admission.judge({ ...REQUEST, rank: 2 }, best).kind).equal("refuse");
+    expect(admission.decide({ ...REQUEST, rank: 0 }, best).kind).equal("serve");
+    expect(admission.decide({ ...REQUEST, rank: 2 }, best).kind).equal("refuse");
   });
 
   it("waits longer where an engine is starting", () => {
-    const none = admission.absentMs(REQUEST, false);
+    const none = admission.maxEndpointWaitMs(REQUEST, false);
     expect(none).below(REQUEST.targetMs / 4);
-    expect(admission.absentMs(REQUEST, true))
+    expect(admission.maxEndpointWaitMs(REQUEST, true))
       .above(4 * none)
       .below(REQUEST.leftMs / 2);
   });
@@ -50,7 +50,7 @@
   it("never sets the time to retry close to the deadline", () => {
     fc.assert(
       fc.property(fc.nat(60_000), fc.nat(60_000), (wantedMs, leftMs) => {
-        expect(admission.comeBack(wantedMs, leftMs)).within(0, leftMs / 3);
+        expect(admission.retryAfterMs(wantedMs, leftMs)).within(0, leftMs / 3);
       }),
     );
   });
--- a/test/serving/decisions.test.ts
+++ b/test/serving/decisions.test.ts
@@ -252,11 +252,11 @@
     const reported = (id: string, ms: number, ageMs: number): choice.View =>
       withAdapter(id, {
         state: { ...fixtures.STATE, instance: id, waitMs: new Array<number>(10).fill(ms) },
-        ageMs,
+        stateAgeMs: ageMs,
       });
     const firstMs = (ageMs: number): number | undefined =>
       choice
-        .engines([reported("1", 0, ageMs), reported("2", 400, 0)], NEED)
+        .rankEngines([reported("1", 0, ageMs), reported("2", 400, 0)], NEED)
         .find((e) => e.view.endpoint.id === "1")?.firstMs;
     const freshMs = firstMs(0) ?? 0;
     expect((firstMs(500) ?? 0) - freshMs).closeTo(100, 1);
@@ -264,7 +264,7 @@
   });
 
   it("prefers the engine where the adapter is resident", () => {
-    const best = choice.engines(
+    const best = choice.rankEngines(
       [fixtures.view("1"), withAdapter("2"), fixtures.view("3")],
       NEED,
     )[0];
@@ -276,8 +276,10 @@
       withAdapter("2", {
         state: { ...fixtures.STATE, instance: "2", waitMs: new Array<number>(10).fill(ms) },
       });
-    expect(choice.engines([fixtures.view("1"), queued(500)], NEED)[0]?.view.endpoint.id).equal("2");
-    expect(choice.engines([fixtures.view("1"), queued(1500)], NEED)[0]?.view.endpoint.id).equal(
+    expect(choice.rankEngines([fixtures.view("1"), queued(500)], NEED)[0]?.view.endpoint.id).equal(
+      "2",
+    );
+    expect(choice.rankEngines([fixtures.view("1"), queued(1500)], NEED)[0]?.view.endpoint.id).equal(
       "1",
     );
   });
@@ -288,19 +290,19 @@
     });
     const down = fixtures.view("2", { state: { ...fixtures.STATE, instance: "" } });
     const need = { ...NEED, tried: new Set(["3"]) };
-    expect(choice.engines([leaving, down, fixtures.view("3")], need)).deep.equal([]);
+    expect(choice.rankEngines([leaving, down, fixtures.view("3")], need)).deep.equal([]);
   });
 
   it("uses an engine of unknown state only for the adapters that it held", () => {
-    expect(choice.engines([fixtures.view("1", { state: undefined })], NEED)).deep.equal([]);
-    expect(choice.engines([withAdapter("1", { state: undefined })], NEED)).length(1);
+    expect(choice.rankEngines([fixtures.view("1", { state: undefined })], NEED)).deep.equal([]);
+    expect(choice.rankEngines([withAdapter("1", { state: undefined })], NEED)).length(1);
   });
 
   it("prefers a plain service's endpoint with fewer requests and fewer failures", () => {
     const need = { domain: "d1", tried: new Set<string>() };
-    const busy = fixtures.view("1", { own: 4 });
-    const failing = fixtures.view("2", { failing: 0.5 });
-    const best = choice.plain([busy, failing, fixtures.view("3")], need, () => 0)[0];
+    const busy = fixtures.view("1", { inFlight: 4 });
+    const failing = fixtures.view("2", { failureRate: 0.5 });
+    const best = choice.rankPlain([busy, failing, fixtures.view("3")], need, () => 0)[0];
     expect(best?.view.endpoint.id).equal("3");
   });
 });
--- a/test/serving/dispatching.ts
+++ b/test/serving/dispatching.ts
@@ -9,7 +9,7 @@
 import type * as ask from "../../src/serving/ask.js";
 import type * as catalog from "../../src/serving/catalog.js";
 import * as dispatch from "../../src/serving/dispatch.js";
-import * as endpoints from "../../src/serving/endpoints.js";
+import * as endpointRegistry from "../../src/serving/endpoint-registry.js";
 import * as meters from "../../src/serving/meters.js";
 import type * as protocol from "../../src/serving/protocol.js";
 import type * as progress from "../../src/serving/progress.js";
@@ -36,23 +36,23 @@
   budget: retries.Options = RETRIES,
 ) {
   const currentCatalog = typeof current === "function" ? current : () => current;
-  const known = new endpoints.Endpoints(
+  const known = new endpointRegistry.EndpointRegistry(
     {
       clock: clk,
       log: record.silent,
       host: "entry",
       catalog: currentCatalog,
       daemonOf,
-      suspicion: (m, peer) => {
+      onSuspicion: (m, peer) => {
         suspectList.hear(m, peer);
       },
-      greeting: () => suspectList.retold(),
+      messagesOnConnect: () => suspectList.retold(),
       random: () => 0,
-      notice: (m, peer) => {
+      onNotice: (m, peer) => {
         notices.learn(m, peer);
       },
-      limitedMs: (id) => notices.waitMs(id),
-      opensInMs: (e) => notices.opensInMs(e),
+      limitWaitMs: (id) => notices.waitMs(id),
+      availableInMs: (e) => notices.opensInMs(e),
     },
     clk,
   );
@@ -60,7 +60,7 @@
     clock: clk,
     log: record.silent,
     totals: () => notices.totals(),
-    places: (key, n) => known.keepers(key, n),
+    places: (key, n) => known.ownerCandidates(key, n),
     hosts: () => known.mostHosts() ?? 1,
   });
   const notices = new workerNotices.WorkerNotices({
--- a/test/serving/engines.ts
+++ b/test/serving/engines.ts
@@ -124,7 +124,7 @@
 }
 
 /** What an entry daemon asks for a seat on `adapter` with. */
-export function wish(adapter: string, leftMs = 3000): link.Wish {
+export function wish(adapter: string, leftMs = 3000): link.SeatRequest {
   return {
     request: adapter,
     model: "m",
--- a/test/serving/fleet-load.ts
+++ b/test/serving/fleet-simulation.ts
@@ -10,12 +10,12 @@
 import * as choice from "../../src/serving/choice.js";
 import * as diversion from "../../src/serving/diversion.js";
 import * as fleet from "../../src/serving/fleet.js";
-import * as holders from "../../src/serving/holders.js";
+import * as adapterIndex from "../../src/serving/adapter-index.js";
 import * as search from "../../src/serving/search.js";
 import * as fixtures from "./fixtures.js";
 
 /** The fleet and its load. */
-export interface Size {
+export interface FleetOptions {
   readonly engines: number;
   /** Number of entry hosts. */
   readonly entries: number;
@@ -88,7 +88,7 @@
 }
 
 /** Runs a simulation; the same seed gives the same results. */
-export function play(size: Size, policy: Policy, seed: number): Outcome {
+export function simulate(size: FleetOptions, policy: Policy, seed: number): Outcome {
   const rng = generators.xoroshiro128plus(seed);
   const random = (): number => uniform.uniformFloat64(rng);
   const events = new queues.default<Event>([], (a, b) => a.at - b.at);
@@ -102,7 +102,7 @@
   const endpoints = engines.map((e, i) => {
     return { ...fixtures.endpoint(e.id, e.id), domain: `d${i % 5}` };
   });
-  const arranged = fleet.arrange(endpoints, (e) => e.address, []);
+  const arranged = fleet.buildLayout(endpoints, (e) => e.address, []);
   let requests = 0;
   let onTime = 0;
   let loads = 0;
@@ -112,7 +112,7 @@
 
   const hosts = Array.from({ length: size.entries }, () => {
     const known = new Map(engines.map((e) => [e.id, nothingKnown()]));
-    return { known, index: new holders.Holders() };
+    return { known, index: new adapterIndex.AdapterIndex() };
   });
   type Host = (typeof hosts)[number];
 
@@ -124,7 +124,7 @@
   const sendState = (e: Engine, h: Host): void => {
     const resident = [...e.slots.keys()];
     const keys = new Set([...resident, ...e.memory.keys()]);
-    h.index.changed(e.id, h.known.get(e.id)?.keys ?? new Set(), keys);
+    h.index.update(e.id, h.known.get(e.id)?.keys ?? new Set(), keys);
     const warm = [...e.memory.keys()];
     const slotMs = slotMsOf(e);
     h.known.set(e.id, { at: now, waitMs: waitMsOf(e), slotMs, resident, warm, keys, tokens: 0 });
@@ -144,9 +144,9 @@
         slotMs: state.slotMs,
       },
       holdings: { models: ["m"], resident: state.resident, warm: state.warm },
-      ownTokens: state.tokens,
-      place,
-      ageMs: policy === "search" ? now - state.at : 0,
+      pendingTokens: state.tokens,
+      orderIndex: place,
+      stateAgeMs: policy === "search" ? now - state.at : 0,
     });
   };
   const best = (h: Host, key: string, leftMs: number, n: number): string => {
@@ -160,11 +160,11 @@
       targetMs: leftMs,
     };
     const view = (e: { readonly id: string }, place: number): choice.View => viewOf(h, e.id, place);
-    const all = fleet.of(arranged, h.index, view, random);
+    const all = fleet.viewsFor(arranged, h.index, view, random);
     const found =
       policy === "search"
         ? search.find(all, need, key)
-        : choice.engines(all.inOrder(key, Infinity), need);
+        : choice.rankEngines(all.inOrder(key, Infinity), need);
     return found[0]?.view.endpoint.id ?? "e0";
   };
   /** Adds a request to an engine and returns the time of its first event; Infinity while there is no slot for it. */
--- a/test/serving/host-count.test.ts
+++ b/test/serving/host-count.test.ts
@@ -31,7 +31,7 @@
       await engines.until(() => link.state?.entries === FEW);
       expect(known.mostHosts()).equal(MANY);
       daemon.close();
-      await engines.until(() => !link.isReached);
+      await engines.until(() => !link.isConnected);
       expect(known.mostHosts()).equal(MANY);
     } finally {
       close();
--- a/test/serving/incarnation.test.ts
+++ b/test/serving/incarnation.test.ts
@@ -29,16 +29,16 @@
       fc.property(name, startTime, (worker, start) => {
         const id = incarnation.idOf(worker, start);
         expect(incarnation.workerOf(id)).equal(worker);
-        expect(incarnation.bornOf(id)).equal(start);
+        expect(incarnation.startOf(id)).equal(start);
       }),
     );
   });
 
   it("differs by start time, and may be the same where a start time is not reported", () => {
     const [old, next] = [incarnation.idOf("w", 1), incarnation.idOf("w", 2)];
-    expect(incarnation.isSame(old, next)).equal(false);
-    expect(incarnation.isSame(old, "w")).equal(true);
-    expect(incarnation.isSame(old, incarnation.idOf("v", 1))).equal(false);
+    expect(incarnation.mayBeSame(old, next)).equal(false);
+    expect(incarnation.mayBeSame(old, "w")).equal(true);
+    expect(incarnation.mayBeSame(old, incarnation.idOf("v", 1))).equal(false);
     expect(incarnation.isOlder(old, next)).equal(true);
     expect(incarnation.isOlder(next, old)).equal(false);
     expect(incarnation.isOlder("w", next)).equal(false);
@@ -55,7 +55,7 @@
           const update = UPDATES[n];
           if (update?.kind !== "endpoint") continue;
           at = catalog.step(at, update);
-          newest = Math.max(newest, incarnation.bornOf(update.endpoint.id) ?? 0);
+          newest = Math.max(newest, incarnation.startOf(update.endpoint.id) ?? 0);
           expect(at.endpoints.size).equal(1);
           expect(at.endpoints.get("w")?.id).equal(incarnation.idOf("w", newest));
         }
@@ -90,7 +90,7 @@
     await engines.until(() => s.link.state?.instance === incarnation.idOf("i1", 1));
     const first = s.link.ask(engines.wish("a"));
     expect(await first.answer).include({ kind: "grant" });
-    first.over("whole");
+    first.release("whole");
     // The new incarnation has taken as many orders as the old one, and holds another adapter.
     s.engine.held.clear();
     s.engine.held.set("b", { version: 1, ready: true });
@@ -125,8 +125,8 @@
     const need = { model: "m", key: "m/a", promptTokens: 100, rank: 1, domain: "d1" };
     const usable = (): readonly string[] =>
       choice
-        .engines(made.known.views(service), { ...need, tried: new Set(), targetMs: 1000 })
-        .map((e) => `${e.view.endpoint.id} ${choice.holding(e.view, need.key)}`);
+        .rankEngines(made.known.views(service), { ...need, tried: new Set(), targetMs: 1000 })
+        .map((e) => `${e.view.endpoint.id} ${choice.adapterState(e.view, need.key)}`);
     let lost = 0;
     try {
       at = catalog.step(at, entry(1));
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -151,7 +151,7 @@
     expect(await waits.answer).deep.equal({ kind: "deny", reason: "leaving" });
     const late = s.link.ask(engines.wish("c"));
     expect(await late.answer).deep.equal({ kind: "deny", reason: "leaving" });
-    held.over("whole");
+    held.release("whole");
     await timers.setTimeout(100);
     expect(s.engine.orders).deep.equal(["load a"]);
     expect(s.told).deep.equal([leaving("i1")]);
--- a/test/serving/limited.test.ts
+++ b/test/serving/limited.test.ts
@@ -95,7 +95,7 @@
     expect(Math.max(...refused.map((e) => e.tookMs))).below(200);
     const [first] = refused;
     expect(first?.retryAfterMs).within(120, 1000);
-    await timers.setTimeout((first?.retryAfterMs ?? 0) + admission.TURN_MS);
+    await timers.setTimeout((first?.retryAfterMs ?? 0) + admission.MAX_LIMIT_WAIT_MS);
     expect((await serve(made)).status).equal(200);
   });
 
@@ -106,7 +106,7 @@
     await timers.setTimeout(100);
     const end = await serve(made);
     expect(end.status).equal(200);
-    expect(end.tookMs).within(50, admission.TURN_MS);
+    expect(end.tookMs).within(50, admission.MAX_LIMIT_WAIT_MS);
   });
 
   it("fill the worker again once it announces no limit", async () => {
@@ -150,23 +150,26 @@
   const holding = { models: ["m"], resident: ["m/a"], warm: [] };
 
   it("passes over one whose next turn is far off, and has its adapter loaded elsewhere at no extra cost", () => {
-    const full = fixtures.view("1", { holdings: holding, limitedMs: admission.TURN_MS + 1 });
-    const [best, ...rest] = choice.engines([full, fixtures.view("2")], need);
+    const full = fixtures.view("1", {
+      holdings: holding,
+      limitWaitMs: admission.MAX_LIMIT_WAIT_MS + 1,
+    });
+    const [best, ...rest] = choice.rankEngines([full, fixtures.view("2")], need);
     expect(best?.view.endpoint.id).equal("2");
-    expect(best?.extraMs).equal(0);
+    expect(best?.penaltyMs).equal(0);
     expect(rest).length(0);
   });
 
   it("counts a turn that comes soon as waiting time", () => {
-    const soon = fixtures.view("1", { holdings: holding, limitedMs: 100 });
-    const [best] = choice.engines([soon, fixtures.view("2")], need);
+    const soon = fixtures.view("1", { holdings: holding, limitWaitMs: 100 });
+    const [best] = choice.rankEngines([soon, fixtures.view("2")], need);
     expect(best?.view.endpoint.id).equal("1");
-    expect(best && best.firstMs - best.ownMs).equal(100);
+    expect(best && best.firstMs - best.serviceMs).equal(100);
   });
 
   it("keeps a request at the engine where it waits for its turn", () => {
-    const full = fixtures.view("1", { holdings: holding, limitedMs: 5000 });
-    const [best] = choice.engines([full, fixtures.view("2")], { ...need, waitsAt: "1" });
+    const full = fixtures.view("1", { holdings: holding, limitWaitMs: 5000 });
+    const [best] = choice.rankEngines([full, fixtures.view("2")], { ...need, waitsAt: "1" });
     expect(best?.view.endpoint.id).equal("1");
   });
 });
--- a/test/serving/links.ts
+++ b/test/serving/links.ts
@@ -8,7 +8,7 @@
 import type * as noticeMessages from "../../src/serving/notice-messages.js";
 
 /** Connects to `ip:port`, and records the engines reported as lost and the notices received about workers. */
-export function open(address: string, greeting: ReturnType<link.Deps["greeting"]> = []) {
+export function open(address: string, greeting: ReturnType<link.Deps["messagesOnConnect"]> = []) {
   const lost: string[] = [];
   const told: noticeMessages.Notice[] = [];
   const made = new link.Link(address, {
@@ -19,9 +19,9 @@
     onAdaptersChanged: () => undefined,
     onAvailable: () => undefined,
     onEntryCount: () => undefined,
-    suspicion: () => undefined,
-    notice: (m) => told.push(m),
-    greeting: () => greeting,
+    onSuspicion: () => undefined,
+    onNotice: (m) => told.push(m),
+    messagesOnConnect: () => greeting,
   });
   return { made, lost, told };
 }
--- a/test/serving/retrying.ts
+++ b/test/serving/retrying.ts
@@ -6,7 +6,7 @@
 import * as generators from "pure-rand/generator/xoroshiro128plus";
 import * as uniform from "pure-rand/distribution/uniformInt";
 import type * as clock from "../../src/host/clock.js";
-import * as endpoints from "../../src/serving/endpoints.js";
+import * as endpointRegistry from "../../src/serving/endpoint-registry.js";
 import * as peak from "../../src/serving/peak.js";
 import * as rule from "../../bench/platform/retry-rule.js";
 import * as retries from "../../src/serving/retries.js";
@@ -151,7 +151,8 @@
     for (; h.waiting > 0; h.waiting--) newest.budget.request(SERVICE);
     for (const p of h.processes) {
       const told = plan.told(alive, now - p.startedAt);
-      if (told !== undefined) p.counts = peak.read(p.counts, told, now, endpoints.HOSTS_MS);
+      if (told !== undefined)
+        p.counts = peak.read(p.counts, told, now, endpointRegistry.HOST_COUNT_WINDOW_MS);
       const most = p.counts && peak.highest(p.counts);
       while (isWanted && p.budget.take(SERVICE, most).from) retriesAt.push(now + arrivesInMs());
       // A process reads the requests that waited for it before its timers fire.
--- a/test/serving/search.test.ts
+++ b/test/serving/search.test.ts
@@ -4,10 +4,10 @@
 import type * as choice from "../../src/serving/choice.js";
 import * as diversion from "../../src/serving/diversion.js";
 import * as fleet from "../../src/serving/fleet.js";
-import * as holders from "../../src/serving/holders.js";
+import * as adapterIndex from "../../src/serving/adapter-index.js";
 import * as search from "../../src/serving/search.js";
 import * as fixtures from "./fixtures.js";
-import * as load from "./fleet-load.js";
+import * as load from "./fleet-simulation.js";
 
 const { expect } = chai;
 
@@ -27,18 +27,18 @@
 function fleetOf(
   list: readonly string[],
   over: (id: string) => Partial<choice.View> = () => ({}),
-  index = new holders.Holders(),
+  index = new adapterIndex.AdapterIndex(),
 ) {
   const counts = { reads: 0 };
   const endpoints = list.map((id, i) => {
     return { ...fixtures.endpoint(id, id), domain: `d${i % 5}` };
   });
-  const arranged = fleet.arrange(endpoints, (e) => e.address, []);
+  const arranged = fleet.buildLayout(endpoints, (e) => e.address, []);
   const viewOf = (e: { readonly id: string }, place: number): choice.View => {
     counts.reads++;
-    return fixtures.view(e.id, { place, ...over(e.id) });
+    return fixtures.view(e.id, { orderIndex: place, ...over(e.id) });
   };
-  return { counts, engines: fleet.of(arranged, index, viewOf, () => 0) };
+  return { counts, engines: fleet.viewsFor(arranged, index, viewOf, () => 0) };
 }
 
 function busy(id: string, ms: number): Partial<choice.View> {
@@ -58,13 +58,13 @@
   });
 
   it("finds the one engine of many that has the adapter", () => {
-    const index = new holders.Holders();
+    const index = new adapterIndex.AdapterIndex();
     for (const id of ids(55)) {
-      index.changed(id, new Set(), new Set(["m/a"]));
+      index.update(id, new Set(), new Set(["m/a"]));
       const holdings = { models: ["m"], resident: ["m/a"], warm: [] };
       const over = (other: string): Partial<choice.View> => (other === id ? { holdings } : {});
       expect(first(search.find(fleetOf(ids(55), over, index).engines, NEED, "x"))).equal(id);
-      index.changed(id, new Set(["m/a"]), new Set());
+      index.update(id, new Set(["m/a"]), new Set());
     }
   });
 
@@ -84,7 +84,7 @@
   });
 
   it("reaches for a few engines alone while an entry host has just started", () => {
-    const { engines, counts } = fleetOf(ids(300), () => ({ state: undefined, coming: true }));
+    const { engines, counts } = fleetOf(ids(300), () => ({ state: undefined, isStarting: true }));
     expect(search.find(engines, NEED, "x")).deep.equal([]);
     expect(counts.reads).most(4);
   });
@@ -95,7 +95,7 @@
       .map((v) => v.endpoint.id);
     const ready = order[9];
     const over = (id: string): Partial<choice.View> =>
-      id === ready ? {} : { holdings: { models: [], resident: [], warm: [] }, coming: true };
+      id === ready ? {} : { holdings: { models: [], resident: [], warm: [] }, isStarting: true };
     expect(first(search.find(fleetOf(ids(55), over).engines, NEED, "x"))).equal(ready);
   });
 
@@ -140,8 +140,8 @@
   ] as const) {
     it(`serves more on time than by the best of all engines' last states (${perS} a second)`, () => {
       for (const seed of [1, 2]) {
-        const baseline = load.play({ ...size, perS }, "best of last states", seed);
-        const result = load.play({ ...size, perS }, "search", seed);
+        const baseline = load.simulate({ ...size, perS }, "best of last states", seed);
+        const result = load.simulate({ ...size, perS }, "search", seed);
         expect(result.onTime).above(least);
         expect(result.onTime - baseline.onTime).above(gain);
         expect(result.loadsEach).below(1.06);
--- a/test/serving/moves.test.ts
+++ b/test/serving/seat-waiting.test.ts
@@ -37,7 +37,7 @@
     await engines.until(() => sites.some((s) => s.keeper.count() === 2));
     // The slot of the engine where the request does not wait becomes free.
     const freeIndex = sites.findIndex((s) => s.keeper.count() === 1);
-    others[freeIndex]?.over("whole");
+    others[freeIndex]?.release("whole");
     await served;
     expect(seen).deep.equal(["begin 200", "end"]);
     expect([...(sites[freeIndex]?.engine.held.keys() ?? [])]).deep.equal(["a"]);
@@ -105,7 +105,7 @@
 
   it("drops the state but keeps the holdings of a daemon that is disconnected", async () => {
     const s = await engines.site("i1", 2);
-    const seat: link.Seat = s.link.ask(engines.wish("a"));
+    const seat: link.PendingSeat = s.link.ask(engines.wish("a"));
     await seat.answer;
     await engines.until(() => s.link.holdings?.resident.includes("m/a") ?? false);
     s.closeDoor();
--- a/test/serving/seats.test.ts
+++ b/test/serving/seats.test.ts
@@ -23,7 +23,7 @@
     await Promise.all(held.map((h) => h.answer));
     const third = s.link.ask(engines.wish("c"));
     await clock.sleep(clock.system, 60);
-    held[0]?.over("whole");
+    held[0]?.release("whole");
     expect((await third.answer).kind).equal("grant");
     expect([...s.engine.held.keys()]).deep.equal(["b", "c"]);
     expect(s.engine.most).most(SLOTS);
@@ -44,7 +44,7 @@
     s.engine.mood = "well";
     for (const a of asked) {
       await a.answer;
-      a.over("whole");
+      a.release("whole");
     }
     await clock.sleep(clock.system, 150);
     expect(s.engine.most).most(SLOTS);
@@ -64,7 +64,7 @@
     const s = await engines.site();
     const old = s.link.ask(engines.wish("a"));
     await old.answer;
-    old.over("whole");
+    old.release("whole");
     s.declare("a", 2);
     await engines.until(() => s.engine.held.get("a")?.version === 2);
     expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant", version: 2 });
@@ -79,7 +79,7 @@
     expect(await s.link.ask({ ...asked, firm: false }).answer).include({ reason: "busy" });
     expect(performance.now() - from).below(200);
     const firm = s.link.ask({ ...asked, firm: true });
-    other.over("whole");
+    other.release("whole");
     expect(await firm.answer).include({ kind: "grant" });
   });
 
@@ -87,7 +87,7 @@
     const s = await engines.site("i1", 1);
     const other = s.link.ask(engines.wish("other"));
     await other.answer;
-    other.over("left");
+    other.release("left");
     s.engine.lingerMs = 150;
     expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant" });
     expect(s.engine.most).equal(1);
@@ -97,7 +97,7 @@
     const s = await engines.site("i1", 1);
     const other = s.link.ask(engines.wish("other"));
     await other.answer;
-    other.over("whole");
+    other.release("whole");
     s.engine.busyUntil = performance.now() + 400;
     const next = s.link.ask(engines.wish("a"));
     expect(await next.answer).include({ kind: "grant" });
@@ -109,7 +109,7 @@
     const s = await engines.site();
     const old = s.link.ask(engines.wish("a"));
     await old.answer;
-    old.over("whole");
+    old.release("whole");
     s.engine.replaceMs = 300;
     s.declare("a", 2);
     await engines.until(() => s.engine.held.get("a")?.version === 2);
@@ -134,11 +134,11 @@
     const s = await engines.site();
     const old = s.link.ask(engines.wish("a"));
     await old.answer;
-    old.over("whole");
+    old.release("whole");
     s.engine.newest = 2;
     const newer = s.link.ask({ ...engines.wish("a"), version: 2 });
     await newer.answer;
-    newer.over("whole");
+    newer.release("whole");
     await engines.until(() => s.engine.held.get("a")?.version === 2);
   });
 
@@ -158,7 +158,7 @@
     const s = await engines.site();
     const a = s.link.ask(engines.wish("a"));
     await a.answer;
-    a.over("whole");
+    a.release("whole");
     s.engine.restart();
     await engines.until(() => s.link.state?.instance === "i1+");
     expect(await s.link.ask(engines.wish("a")).answer).include({ instance: "i1+" });
