--- a/src/serving/ask.ts
+++ b/src/serving/caller-request.ts
@@ -41,7 +41,7 @@
 }
 
 /** A request that was read completely and matched to a route. */
-export interface Ask {
+export interface CallerRequest {
   readonly meta: Meta;
   readonly route: catalog.Route;
   readonly service: catalog.Service;
--- a/src/serving/caps.ts
+++ b/src/serving/caps.ts
@@ -3,7 +3,7 @@
  * admits it.
  * @module
  */
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as catalog from "./catalog.js";
 import type * as limiter from "./limiter.js";
 import type * as messages from "./limiter-messages.js";
@@ -11,7 +11,7 @@
 const ADMITTED: limiter.Verdict = { kind: "in", delayMs: 0 };
 
 /** The units that a request counts against its team's cap. */
-export function unitsOf(cap: catalog.Cap, meta: ask.Meta): number {
+export function unitsOf(cap: catalog.Cap, meta: callerRequest.Meta): number {
   if (cap.unit === "requests") return 1;
   const tokens = meta.promptTokens + meta.answerTokens;
   return tokens > 0 ? tokens : cap.defaultTokens;
--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -6,13 +6,13 @@
 import type * as record from "../host/record.js";
 import * as clock from "../host/clock.js";
 import type * as admission from "./admission.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as choice from "./choice.js";
 import * as ending from "./ending.js";
 import type * as meters from "./meters.js";
 import * as sendChecks from "./send-checks.js";
 import * as progress from "./progress.js";
-import * as retries from "./retries.js";
+import * as retryBudget from "./retry-budget.js";
 import * as seatFinder from "./seat-finder.js";
 import * as sending from "./sending.js";
 import type * as suspects from "./suspects.js";
@@ -24,15 +24,15 @@
   /** Failure domain of this host. */
   readonly domain: string;
   /** Retry budget of each service. */
-  readonly retries: retries.Options;
+  readonly retries: retryBudget.Options;
 }
 
 export interface Deps extends seatFinder.Deps {
   readonly log: record.Log;
-  readonly meters: meters.Meters;
+  readonly metrics: meters.Meters;
   readonly upstream: upstream.Upstream;
   /** Milliseconds since the catalog was last known to be up to date with the store. */
-  readonly newsAgeMs: () => number;
+  readonly catalogAgeMs: () => number;
   readonly suspects: suspects.Suspects;
   readonly notices: workerNotices.WorkerNotices;
   /** Checks again whether the key of an admitted request still authorizes it. */
@@ -49,8 +49,8 @@
 const SEATLESS: seatFinder.SeatResult = { kind: "seatless" };
 
 /** Dispatches the requests of one entry daemon. */
-export class Dispatch {
-  private readonly budget: retries.Budget;
+export class Dispatcher {
+  private readonly budget: retryBudget.Budget;
   private readonly checks: sendChecks.SendChecks;
   private readonly seeker: seatFinder.SeatFinder;
   private readonly sender: sending.Sender;
@@ -59,15 +59,15 @@
     opts: Options,
     private readonly deps: Deps,
   ) {
-    this.budget = new retries.Budget(opts.retries, deps.clock);
+    this.budget = new retryBudget.Budget(opts.retries, deps.clock);
     this.checks = new sendChecks.SendChecks(this.budget, deps);
     this.seeker = new seatFinder.SeatFinder(opts.domain, deps);
     this.sender = new sending.Sender({ ...deps, checks: this.checks });
   }
 
   /** Prepares for a graceful shutdown: requests in flight are still served to their end. */
-  leave(): void {
-    this.budget.leave();
+  startDraining(): void {
+    this.budget.startDraining();
   }
 
   close(): void {
@@ -75,35 +75,40 @@
   }
 
   /** Serves one request to its end. Resolves to whether it ran, or may have run, at any endpoint. */
-  async serve(req: ask.Ask, res: progress.Outlet): Promise<boolean> {
+  async serve(req: callerRequest.CallerRequest, res: progress.CallerResponse): Promise<boolean> {
     const now = this.deps.clock.mono();
-    this.budget.request(req.service.name);
+    this.budget.recordRequest(req.service.name);
     const p = progress.start(req);
     const stopping = new AbortController();
     const stop = (): void => {
       stopping.abort();
     };
-    res.gone.addEventListener("abort", stop, { once: true });
+    res.disconnected.addEventListener("abort", stop, { once: true });
     const timer = this.deps.clock.after(Math.max(0, req.dueAt - now), stop);
     let outcome: progress.Ending = "failed";
     try {
       outcome = await this.tryEndpoints(req, res, p, stopping.signal);
     } finally {
       timer.cancel();
-      res.gone.removeEventListener("abort", stop);
+      res.disconnected.removeEventListener("abort", stop);
       this.reportEnd(req, p, outcome);
     }
     return p.runs > 0;
   }
 
   /** Records the end of a request in the metrics and the log. */
-  private reportEnd(req: ask.Ask, p: progress.Progress, outcome: progress.Ending): void {
+  private reportEnd(
+    req: callerRequest.CallerRequest,
+    p: progress.Progress,
+    outcome: progress.Ending,
+  ): void {
     const now = this.deps.clock.mono();
-    const firstMs = p.firstAt === undefined ? undefined : Math.round(p.firstAt - req.arrivedAt);
+    const firstMs =
+      p.firstByteAt === undefined ? undefined : Math.round(p.firstByteAt - req.arrivedAt);
     const tookMs = Math.round(now - req.arrivedAt);
-    this.deps.meters.request(req.route.name, outcome, firstMs, tookMs);
+    this.deps.metrics.request(req.route.name, outcome, firstMs, tookMs);
     if (p.closedBy && outcome === "refused") {
-      this.deps.meters.noticed(req.service.name, p.closedBy, "refused");
+      this.deps.metrics.noticed(req.service.name, p.closedBy, "refused");
     }
     this.deps.log.info("A request is over.", {
       request: req.meta.id,
@@ -116,7 +121,7 @@
       runs: p.runs,
       targetMs: req.route.targetMs,
       expectedMs: p.expectedMs,
-      newsMs: p.newsMs,
+      newsMs: p.catalogAgeMs,
       firstMs,
       tookMs,
       why: outcome === "whole" ? undefined : p.why,
@@ -125,31 +130,31 @@
 
   /** Tries one endpoint after the other until the request has ended. */
   private async tryEndpoints(
-    req: ask.Ask,
-    res: progress.Outlet,
+    req: callerRequest.CallerRequest,
+    res: progress.CallerResponse,
     p: progress.Progress,
     stopSignal: AbortSignal,
   ): Promise<progress.Ending> {
     for (;;) {
-      if (res.gone.aborted) return "left";
+      if (res.disconnected.aborted) return "left";
       const remainingMs = req.dueAt - this.deps.clock.mono();
       if (remainingMs < MIN_REMAINING_MS) return this.giveUp(req, res, p, true);
       if (p.runs > 0 && p.runs >= req.route.attempts) return this.giveUp(req, res, p, false);
       if (p.withheld > MAX_WITHHELD) return this.giveUp(req, res, p, false);
-      if (p.sends >= sending.SENDS) return this.giveUp(req, res, p, false);
+      if (p.sends >= sending.MAX_SENDS) return this.giveUp(req, res, p, false);
       if (this.checks.isQuarantined(req, p)) return this.giveUp(req, res, p, false);
       const best = await this.seeker.pick(req, p, stopSignal);
       if (!best) return this.giveUp(req, res, p, false);
       // With so little time left to wait for a seat, each engine would deny it at once.
       if (req.service.engine && this.seeker.seatWaitLeftMs(req, p) < MIN_REMAINING_MS) {
-        p.comeBackMs = best.firstMs - best.serviceMs;
+        p.retryAfterMs = best.firstMs - best.serviceMs;
         return this.giveUp(req, res, p, false);
       }
       p.expectedMs ??= Math.round(best.firstMs);
       // Admission is decided once: a request that was admitted and has waited is not refused because of later arrivals.
-      const verdict = p.judged ? SERVE : this.seeker.admit(req, best);
+      const verdict = p.isAdmissionDecided ? SERVE : this.seeker.admit(req, best);
       if (verdict.kind === "refuse") {
-        p.comeBackMs = verdict.retryAfterMs;
+        p.retryAfterMs = verdict.retryAfterMs;
         p.why = verdict.why;
         return this.giveUp(req, res, p, false);
       }
@@ -158,10 +163,11 @@
       const found = req.service.engine
         ? await this.seeker.acquireSeat(req, best, p, stopSignal)
         : SEATLESS;
-      p.judged ||= found.kind !== "diverted";
+      p.isAdmissionDecided ||= found.kind !== "diverted";
       if (found.kind === "diverted" || found.kind === "elsewhere") {
         permit.giveBack();
-        if (!this.checks.takes(best.view.endpoint)) this.checks.turned(req, p, best.view.endpoint);
+        if (!this.checks.acceptsRequests(best.view.endpoint))
+          this.checks.recordDeclined(req, p, best.view.endpoint);
         continue;
       }
       const seat = found.kind === "seat" ? found.seat : undefined;
@@ -175,28 +181,28 @@
    * endpoint accepts no more requests for now.
    */
   private async acquirePermit(
-    req: ask.Ask,
+    req: callerRequest.CallerRequest,
     p: progress.Progress,
     { endpoint }: choice.View,
     stopSignal: AbortSignal,
   ): Promise<workerNotices.Granted | undefined> {
     const permit = await this.deps.notices.admit(endpoint);
     if (permit.kind === "out") {
-      p.comeBackMs = permit.waitMs;
-      this.checks.turned(req, p, endpoint, permit.waitMs);
+      p.retryAfterMs = permit.waitMs;
+      this.checks.recordDeclined(req, p, endpoint, permit.waitMs);
       return undefined;
     }
     if (permit.delayMs > 0) await clock.sleep(this.deps.clock, permit.delayMs, stopSignal);
     if (!stopSignal.aborted && permit.isGood()) return permit;
-    this.checks.turned(req, p, endpoint);
+    this.checks.recordDeclined(req, p, endpoint);
     permit.giveBack();
     return undefined;
   }
 
   /** Sends the caller the final answer to a request that is given up. */
   private giveUp(
-    req: ask.Ask,
-    res: progress.Outlet,
+    req: callerRequest.CallerRequest,
+    res: progress.CallerResponse,
     p: progress.Progress,
     deadlinePassed: boolean,
   ): progress.Ending {
--- a/src/serving/ending.ts
+++ b/src/serving/ending.ts
@@ -4,7 +4,7 @@
  */
 import type * as clock from "../host/clock.js";
 import * as admission from "./admission.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as progress from "./progress.js";
 
 const UNAVAILABLE = 503;
@@ -12,27 +12,27 @@
 /** Gives a request up; `deadlinePassed` says that its deadline is the cause. */
 export function giveUp(
   clk: clock.Clock,
-  req: ask.Ask,
-  res: progress.Outlet,
+  req: callerRequest.CallerRequest,
+  res: progress.CallerResponse,
   p: progress.Progress,
   deadlinePassed: boolean,
 ): progress.Ending {
-  if (res.gone.aborted) return "left";
-  if (p.begun) {
-    res.breakOff();
+  if (res.disconnected.aborted) return "left";
+  if (p.hasResponseBegun) {
+    res.abort();
     return "broken";
   }
   if (p.runs > 0) {
     res.refuse(deadlinePassed ? 504 : 502, p.why);
     return deadlinePassed ? "late" : "unknown";
   }
-  if (p.refusal !== UNAVAILABLE) {
-    res.refuse(p.refusal, p.why);
+  if (p.refusalStatus !== UNAVAILABLE) {
+    res.refuse(p.refusalStatus, p.why);
     return "refused";
   }
   // A known time is told as it is, even if it lies beyond the caller's deadline.
   const knownMs = p.releaseMs ?? p.opensInMs;
-  const retryAfterMs = knownMs ?? admission.retryAfterMs(p.comeBackMs, req.dueAt - clk.mono());
+  const retryAfterMs = knownMs ?? admission.retryAfterMs(p.retryAfterMs, req.dueAt - clk.mono());
   res.refuse(UNAVAILABLE, p.why, retryAfterMs);
   return "refused";
 }
--- a/src/serving/endpoint-registry.ts
+++ b/src/serving/endpoint-registry.ts
@@ -231,7 +231,7 @@
           this.notifyAvailable();
         },
         onEntryCount: (entries) => {
-          this.entryCounts = peak.read(
+          this.entryCounts = peak.addReading(
             this.entryCounts,
             entries,
             this.clk.steady(),
--- a/src/serving/entry-host.ts
+++ b/src/serving/entry-host.ts
@@ -20,7 +20,7 @@
 import * as catalog from "./catalog.js";
 import type * as protocol from "./protocol.js";
 import * as quarantine from "./quarantine.js";
-import type * as retries from "./retries.js";
+import type * as retryBudget from "./retry-budget.js";
 import * as suspects from "./suspects.js";
 import * as upstream from "./upstream.js";
 import * as workerNotices from "./worker-notices.js";
@@ -39,7 +39,7 @@
   readonly overdraft: number;
   /** Milliseconds from the stop signal until the process is killed. */
   readonly graceMs: number;
-  readonly retries: retries.Options;
+  readonly retries: retryBudget.Options;
   /** Address of the endpoint daemon that manages an endpoint. */
   readonly daemonOf: (e: catalog.Endpoint) => string;
 }
@@ -80,7 +80,7 @@
     registry.refresh();
     sharedLimiter.refresh();
     const endpointIds = new Set([...current.endpoints.values()].map((e) => e.id));
-    upstreams.keep(endpointIds);
+    upstreams.retain(endpointIds);
     notices.keep(endpointIds);
   });
   const suspectTracker = new suspects.Suspects({
@@ -138,16 +138,16 @@
     catalog: () => catalogFeed.catalog,
     overdraft: opts.overdraft,
   });
-  const requestDispatcher = new dispatch.Dispatch(
+  const requestDispatcher = new dispatch.Dispatcher(
     { domain: opts.domain, retries: opts.retries },
     {
       clock: deps.clock,
       log: deps.log("request"),
-      meters: daemonMetrics,
+      metrics: daemonMetrics,
       endpoints: registry,
       upstream: upstreams,
       catalog: () => catalogFeed.catalog,
-      newsAgeMs: () => catalogFeed.newsAgeMs,
+      catalogAgeMs: () => catalogFeed.newsAgeMs,
       suspects: suspectTracker,
       notices,
       authenticate: ({ route, caller }) => {
@@ -217,7 +217,7 @@
     stop: async () => {
       draining = true;
       callers.leave();
-      requestDispatcher.leave();
+      requestDispatcher.startDraining();
       const abortAt = deps.clock.mono() + opts.graceMs - ABORT_BEFORE_KILL_MS;
       await clock.sleep(deps.clock, Math.min(READINESS_NOTICE_MS, opts.graceMs / 2));
       const deadline = clock.sleep(deps.clock, abortAt - deps.clock.mono());
--- a/src/serving/events.ts
+++ b/src/serving/event-splitter.ts
@@ -17,11 +17,11 @@
 }
 
 /** Splits chunks into events; keeps the beginning of an event that is still incomplete. */
-export class Cutter {
+export class EventSplitter {
   private partial: Buffer = Buffer.alloc(0);
 
   /** Adds a chunk and returns the events that it completes. */
-  take(chunk: Buffer): readonly Event[] {
+  push(chunk: Buffer): readonly Event[] {
     let unread = this.partial.length === 0 ? chunk : Buffer.concat([this.partial, chunk]);
     const events: Event[] = [];
     for (let end = eventEnd(unread); end > 0; end = eventEnd(unread)) {
@@ -38,7 +38,7 @@
   }
 
   /** Bytes after the last whole event. */
-  tail(): Buffer {
+  remainder(): Buffer {
     return this.partial;
   }
 }
--- a/src/serving/exchange.ts
+++ b/src/serving/exchange.ts
@@ -8,7 +8,7 @@
 import type * as headers from "./headers.js";
 
 /** Consumes one chunk of a body; a returned promise pauses the sender until it resolves. */
-export type Take = (chunk: Buffer) => Promise<void> | undefined;
+export type ChunkHandler = (chunk: Buffer) => Promise<void> | undefined;
 
 /** Status and headers of an answer. */
 export interface Head {
@@ -19,9 +19,9 @@
 /** The body of an answer, which can be read once. */
 export interface Body {
   /** Passes each chunk on as it arrives; resolves at the end, and rejects if the answer breaks off. */
-  readonly pump: (onChunk: Take) => Promise<void>;
+  readonly pump: (onChunk: ChunkHandler) => Promise<void>;
   /** Gives the answer up and closes its connection. */
-  readonly drop: () => void;
+  readonly abort: () => void;
 }
 
 /** Error message of an exchange that this side gave up. */
@@ -32,11 +32,11 @@
   /** Whether the request may be written; called right before that, when a connection is ready. */
   readonly mayStart: () => boolean;
   /** Registers `callback` for when the request must no longer be written; returns the function that unregisters it. */
-  readonly whenClosed: (callback: () => void) => () => void;
+  readonly onClosed: (callback: () => void) => () => void;
 }
 
 /** Gate of a request that is never withheld. */
-export const OPEN: Gate = { mayStart: () => true, whenClosed: () => () => undefined };
+export const ALWAYS_OPEN: Gate = { mayStart: () => true, onClosed: () => () => undefined };
 
 /** Error of a request that its gate withheld before its first byte was written. */
 export class WithheldError extends Error {
@@ -48,7 +48,7 @@
 /** A request and its answer, as handler of the HTTP client's events. */
 export class Exchange implements undici.Dispatcher.DispatchHandler, Body {
   private controller: undici.Dispatcher.DispatchController | undefined;
-  private onChunk: Take | undefined;
+  private onChunk: ChunkHandler | undefined;
   /** Chunks that arrived before the body was read. */
   private buffered: Buffer[] = [];
   private ended: { readonly err: Error | undefined } | undefined;
@@ -57,7 +57,7 @@
   private settlePump: ((err: Error | undefined) => void) | undefined;
   private started = false;
   private readonly onAbort = (): void => {
-    this.drop();
+    this.abort();
   };
 
   /** Resolves when the head of the answer arrives; rejects if there is none. */
@@ -70,7 +70,7 @@
     private readonly signal: AbortSignal,
     private readonly gate: Gate,
   ) {
-    this.unsubscribe = gate.whenClosed(() => {
+    this.unsubscribe = gate.onClosed(() => {
       this.settle(new WithheldError());
     });
     this.head = new Promise((resolve, reject) => {
@@ -120,7 +120,7 @@
     this.settle(err);
   }
 
-  pump(onChunk: Take): Promise<void> {
+  pump(onChunk: ChunkHandler): Promise<void> {
     return new Promise((resolve, reject) => {
       this.settlePump = (err) => {
         if (err) reject(err);
@@ -133,14 +133,14 @@
     });
   }
 
-  drop(): void {
+  abort(): void {
     this.settle(new Error(GIVEN_UP));
     this.controller?.abort(new Error(GIVEN_UP));
   }
 
   /** Passes a chunk on, and pauses the connection while the consumer is busy. */
   private deliver(
-    onChunk: Take,
+    onChunk: ChunkHandler,
     chunk: Buffer,
     controller: undici.Dispatcher.DispatchController | undefined,
   ): void {
@@ -164,14 +164,14 @@
 }
 
 /** Reads a whole body. Throws if it breaks off, and a RangeError if it is longer than `maxBytes`. */
-export async function whole(body: Body, maxBytes: number): Promise<Buffer> {
+export async function readAll(body: Body, maxBytes: number): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let size = 0;
   await body
     .pump((chunk) => {
       size += chunk.length;
       chunks.push(chunk);
-      if (size > maxBytes) body.drop();
+      if (size > maxBytes) body.abort();
       return undefined;
     })
     .catch((err: unknown) => {
--- a/src/serving/front.ts
+++ b/src/serving/front.ts
@@ -26,7 +26,7 @@
   readonly log: record.Log;
   readonly protocol: protocol.Protocol;
   readonly catalog: () => catalog.Catalog;
-  readonly dispatch: dispatch.Dispatch;
+  readonly dispatch: dispatch.Dispatcher;
   readonly caps: caps.Caps;
   readonly meters: meters.Meters;
   /** Milliseconds since the catalog was last known to be as new as the store. */
@@ -147,7 +147,11 @@
     return match.match(req, { config, newsAgeMs, bounds, protocol, random });
   }
 
-  private refuse(req: http.IncomingMessage, response: progress.Outlet, r: match.Refused): void {
+  private refuse(
+    req: http.IncomingMessage,
+    response: progress.CallerResponse,
+    r: match.Refused,
+  ): void {
     const { status, why, team, digest, comeBackMs } = r;
     this.deps.log.info("A request was refused.", { path: req.url, status, why, team, digest });
     this.deps.meters.refused(team, status);
@@ -181,7 +185,7 @@
   private async serve(
     req: http.IncomingMessage,
     res: http.ServerResponse,
-    response: progress.Outlet,
+    response: progress.CallerResponse,
     m: match.Matched,
     arrivedAt: number,
   ): Promise<boolean> {
--- a/src/serving/identity.ts
+++ b/src/serving/identity.ts
@@ -5,14 +5,14 @@
  * @module
  */
 import * as crypto from "node:crypto";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 
 /** The format of an identity: {@link BYTES} bytes as base64url. */
 export const PATTERN = /^[\w-]{22}$/;
 /** Bytes kept of the digest: a collision is to be expected only among about 2^64 requests. */
 const BYTES = 16;
 
-const computed = new WeakMap<ask.Ask, string>();
+const computed = new WeakMap<callerRequest.CallerRequest, string>();
 
 /**
  * The identity of a request, as 22 characters of base64url: a hash of its route's host, method,
@@ -23,7 +23,7 @@
  * The prompt can't be recovered from it. It is computed only for sends that broke off and while
  * some request is suspected, and once per request.
  */
-export function of(a: ask.Ask): string {
+export function of(a: callerRequest.CallerRequest): string {
   const cached = computed.get(a);
   if (cached !== undefined) return cached;
   const hash = crypto.createHash("sha256");
--- a/src/serving/limiter-place.ts
+++ b/src/serving/limiter-place.ts
@@ -185,7 +185,7 @@
 
   /** The highest recent number of connected entry daemons. */
   private hostCount(): number {
-    this.peakHosts = peak.read(
+    this.peakHosts = peak.addReading(
       this.peakHosts,
       this.hosts.size,
       this.deps.clock.steady(),
--- a/src/serving/match.ts
+++ b/src/serving/match.ts
@@ -6,7 +6,7 @@
 import type * as http from "node:http";
 import * as errors from "../host/why.js";
 import * as keys from "../link/keys.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import * as authentication from "./authentication.js";
 import * as caps from "./caps.js";
 import * as catalog from "./catalog.js";
@@ -18,8 +18,8 @@
   readonly config: catalog.Config;
   readonly route: catalog.Route;
   readonly service: catalog.Service;
-  readonly meta: ask.Meta;
-  readonly caller?: ask.Caller;
+  readonly meta: callerRequest.Meta;
+  readonly caller?: callerRequest.Caller;
 }
 
 /** Why a request is refused before it runs. */
@@ -84,7 +84,7 @@
     case "team":
       break;
   }
-  let meta: ask.Meta;
+  let meta: callerRequest.Meta;
   try {
     meta = ctx.protocol.read(req.headers);
   } catch (err) {
@@ -100,7 +100,7 @@
   route: catalog.Route,
   team: catalog.Team,
   digest: string,
-  meta: ask.Meta,
+  meta: callerRequest.Meta,
 ): Pick<Matched, "route" | "caller"> {
   return {
     route: team.rank === undefined ? route : { ...route, rank: team.rank },
--- a/src/serving/outlet.ts
+++ b/src/serving/outlet.ts
@@ -32,14 +32,14 @@
   req: http.IncomingMessage,
   res: http.ServerResponse,
   wire: protocol.Protocol,
-): progress.Outlet {
+): progress.CallerResponse {
   const disconnect = new AbortController();
   res.once("close", () => {
     if (!res.writableFinished) disconnect.abort();
   });
   return {
-    gone: disconnect.signal,
-    begin: (status, received) => {
+    disconnected: disconnect.signal,
+    writeHead: (status, received) => {
       res.writeHead(status, headers.forAnswer(received) as http.OutgoingHttpHeaders);
     },
     write: (bytes) => {
@@ -57,10 +57,10 @@
     end: () => {
       res.end();
     },
-    breakOff: () => {
+    abort: () => {
       res.destroy();
     },
-    answer: (status, received, body) => {
+    sendWhole: (status, received, body) => {
       const length = req.method === "HEAD" ? {} : { "content-length": body.length };
       res.writeHead(status, {
         ...(headers.forAnswer(received) as http.OutgoingHttpHeaders),
@@ -78,7 +78,7 @@
       res.writeHead(status, {
         "content-type": "application/json",
         "content-length": Buffer.byteLength(text),
-        ...(comeBackMs === undefined ? {} : wire.comeBack(comeBackMs)),
+        ...(comeBackMs === undefined ? {} : wire.retryAfterHeaders(comeBackMs)),
         ...close,
       });
       res.end(text);
--- a/src/serving/progress.ts
+++ b/src/serving/progress.ts
@@ -3,23 +3,23 @@
  * @module
  */
 import * as admission from "./admission.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as headers from "./headers.js";
 import type * as meters from "./meters.js";
 
-/** The response to the caller of a request. Nothing is passed on before {@link Outlet.begin}. */
-export interface Outlet {
+/** The response to the caller of a request. Nothing is passed on before {@link CallerResponse.writeHead}. */
+export interface CallerResponse {
   /** Aborts when the caller disconnects. */
-  readonly gone: AbortSignal;
+  readonly disconnected: AbortSignal;
   /** Sends the status and the headers of an answer that is passed on in parts. */
-  readonly begin: (status: number, headers: headers.Headers) => void;
+  readonly writeHead: (status: number, headers: headers.Headers) => void;
   /** Passes bytes on; a returned promise resolves when the caller can take more. */
   readonly write: (bytes: Buffer) => Promise<void> | undefined;
   readonly end: () => void;
   /** Breaks off an answer that has begun, so that the caller does not take it for complete. */
-  readonly breakOff: () => void;
+  readonly abort: () => void;
   /** Sends a whole answer. */
-  readonly answer: (status: number, headers: headers.Headers, body: Buffer) => void;
+  readonly sendWhole: (status: number, headers: headers.Headers, body: Buffer) => void;
   /** Sends a refusal; `retryAfterMs` is given only if the request was not run. */
   readonly refuse: (status: number, message: string, retryAfterMs?: number) => void;
 }
@@ -35,9 +35,9 @@
   /** Sends that ran or may have run. */
   runs: number;
   /** Ids of the endpoints already tried; cleared when none is left to try. */
-  readonly tried: Set<string>;
+  readonly triedEndpoints: Set<string>;
   /** Ids of the engines that sent the request back at once because of their queue. */
-  readonly diverted: Set<string>;
+  readonly divertedBy: Set<string>;
   /** Times that the request got no permit for a worker, or was withheld despite one. */
   withheld: number;
   /** Why no worker that could run the request accepts it now, according to the workers' notices. */
@@ -45,58 +45,58 @@
   /** Milliseconds until one of them does. */
   opensInMs: number | undefined;
   /** Times that the request left an engine's queue for a shorter one. */
-  moves: number;
+  queueMoves: number;
   /** Monotonic ms since which the request waits for an endpoint: its arrival, or the end of its last send. */
-  waitsFrom: number;
+  waitingSince: number;
   /** Whether a retry has been charged to the budget but not yet sent. */
-  retryIsCharged: boolean;
+  isRetryCharged: boolean;
   /** Whether the head of a streamed answer was passed on to the caller. */
-  begun: boolean;
+  hasResponseBegun: boolean;
   /** Whether admission has been decided. */
-  judged: boolean;
+  isAdmissionDecided: boolean;
   /** Id of the last event that was passed on, or that the caller has from an earlier attempt. */
-  lastId: string | undefined;
+  lastEventId: string | undefined;
   /** Reason of the last failure, for the caller and the log. */
   why: string;
   /** Status of a refusal if the request did not run. */
-  refusal: 401 | 503;
+  refusalStatus: 401 | 503;
   /** Milliseconds after which a refused caller should retry, as far as known. */
-  comeBackMs: number;
+  retryAfterMs: number;
   /** Milliseconds until a quarantined request may be sent again; undefined for all others. */
   releaseMs: number | undefined;
   /** Monotonic ms at which the first event or the whole answer was passed on. */
-  firstAt: number | undefined;
+  firstByteAt: number | undefined;
   /** Expected ms to the first event from the endpoint chosen first. */
   expectedMs: number | undefined;
   /** Milliseconds, at the last send, since the host's catalog was last known to be up to date with the store. */
-  newsMs: number | undefined;
+  catalogAgeMs: number | undefined;
   /** Id of the endpoint of the last send; empty before the first. */
   endpoint: string;
 }
 
 /** Progress of a request that has just arrived. */
-export function start(a: ask.Ask): Progress {
+export function start(a: callerRequest.CallerRequest): Progress {
   return {
     sends: 0,
     runs: 0,
-    tried: new Set(),
-    diverted: new Set(),
+    triedEndpoints: new Set(),
+    divertedBy: new Set(),
     withheld: 0,
     closedBy: undefined,
     opensInMs: undefined,
-    moves: 0,
-    waitsFrom: a.arrivedAt,
-    retryIsCharged: false,
-    begun: false,
-    judged: false,
-    lastId: a.meta.resumeAfter,
+    queueMoves: 0,
+    waitingSince: a.arrivedAt,
+    isRetryCharged: false,
+    hasResponseBegun: false,
+    isAdmissionDecided: false,
+    lastEventId: a.meta.resumeAfter,
     why: "no endpoint is there",
-    refusal: 503,
-    comeBackMs: admission.DEFAULT_RETRY_AFTER_MS,
+    refusalStatus: 503,
+    retryAfterMs: admission.DEFAULT_RETRY_AFTER_MS,
     releaseMs: undefined,
-    firstAt: undefined,
+    firstByteAt: undefined,
     expectedMs: undefined,
-    newsMs: undefined,
+    catalogAgeMs: undefined,
     endpoint: "",
   };
 }
--- a/src/serving/protocol.ts
+++ b/src/serving/protocol.ts
@@ -4,12 +4,12 @@
  * @module
  */
 import type * as http from "node:http";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as headers from "./headers.js";
 import type * as notices from "./notices.js";
 
 /** Fields that an entry daemon adds to a request that it sends to an endpoint. */
-export interface Marks {
+export interface SendAttributes {
   /** The only incarnation that may run the request. */
   readonly instance: string;
   /** The only version of the adapter that may serve the request. */
@@ -33,7 +33,7 @@
 /** Reads and writes the platform's headers. */
 export interface Protocol {
   /** Reads a request's headers; throws a RangeError that says which one is wrong. */
-  readonly read: (headers: http.IncomingHttpHeaders) => ask.Meta;
+  readonly read: (headers: http.IncomingHttpHeaders) => callerRequest.Meta;
   /** Headers, in lower case, that only the system sets; a caller's values for them are dropped. */
   readonly reserved: ReadonlySet<string>;
   /** Headers, in lower case, that carry an API key; if teams are configured, they are never forwarded. */
@@ -41,15 +41,15 @@
   /** Finds the API key of a request, considering all values of each header. */
   readonly credential: (headers: headers.Headers) => Credential;
   /** Headers that carry the fields added to a request. */
-  readonly marks: (m: Marks) => Record<string, string>;
+  readonly sendHeaders: (m: SendAttributes) => Record<string, string>;
   /** Id of the request that an answer says it belongs to. */
-  readonly answered: (headers: headers.Headers) => string | undefined;
+  readonly answeredRequestId: (headers: headers.Headers) => string | undefined;
   /** Whether an answer guarantees that the request was not run and never will be. */
-  readonly notRun: (status: number, headers: headers.Headers) => boolean;
+  readonly saysNotRun: (status: number, headers: headers.Headers) => boolean;
   /** Whether an answer carries an endpoint's signature. */
-  readonly signed: (headers: headers.Headers) => boolean;
+  readonly isSigned: (headers: headers.Headers) => boolean;
   /** What an answer says about its worker. */
   readonly notice: (status: number, headers: headers.Headers) => notices.Notice;
   /** Headers that tell a refused caller after how many ms to retry. */
-  readonly comeBack: (ms: number) => Record<string, string>;
+  readonly retryAfterHeaders: (ms: number) => Record<string, string>;
 }
--- a/src/serving/retries.ts
+++ b/src/serving/retry-budget.ts
@@ -13,7 +13,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import * as standstill from "./standstill.js";
+import * as stallDetector from "./stall-detector.js";
 
 /** The retry budget that all hosts share for one service. */
 export interface Options {
@@ -128,7 +128,7 @@
   private readonly accounts = new Map<string, Account>();
   private readonly startedAt: number;
   private isDraining = false;
-  private stallState: standstill.Pulse;
+  private stallState: stallDetector.StallState;
   private timer: clock.Timer | undefined;
 
   constructor(
@@ -136,19 +136,19 @@
     private readonly clk: Pick<clock.Clock, "mono" | "steady" | "after">,
   ) {
     this.startedAt = clk.steady();
-    this.stallState = standstill.begin(clk.mono());
+    this.stallState = stallDetector.start(clk.mono());
     this.scheduleBeat();
   }
 
   /** Records a request that was admitted for a service; it earns tokens. */
-  request(service: string): void {
-    if (standstill.isCatchingUp(this.stallState, this.clk.mono())) return;
+  recordRequest(service: string): void {
+    if (stallDetector.isCatchingUp(this.stallState, this.clk.mono())) return;
     const account = this.accounts.get(service) ?? EMPTY;
     this.accounts.set(service, earn(account, this.clk.mono(), this.opts));
   }
 
   /** Charges one retry if the budget allows it; at most `hosts` hosts share the slack. */
-  take(service: string, hosts: number | undefined): Verdict {
+  takeRetry(service: string, hosts: number | undefined): Verdict {
     const before = this.accounts.get(service) ?? EMPTY;
     const spent = spend(before, this.clk.mono(), this.opts);
     const after = spent ?? this.useSlack(before, hosts);
@@ -163,7 +163,7 @@
   }
 
   /** Stops using the slack because the process is shutting down: its successor on the host uses it from now on. */
-  leave(): void {
+  startDraining(): void {
     this.isDraining = true;
   }
 
@@ -172,8 +172,8 @@
   }
 
   private scheduleBeat(): void {
-    this.stallState = standstill.beat(this.stallState, this.clk.mono());
-    this.timer = this.clk.after(standstill.BEAT_MS, () => {
+    this.stallState = stallDetector.recordBeat(this.stallState, this.clk.mono());
+    this.timer = this.clk.after(stallDetector.BEAT_MS, () => {
       this.scheduleBeat();
     });
   }
--- a/src/serving/seat-finder.ts
+++ b/src/serving/seat-finder.ts
@@ -4,7 +4,7 @@
  */
 import type * as clock from "../host/clock.js";
 import * as admission from "./admission.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import * as catalog from "./catalog.js";
 import * as choice from "./choice.js";
 import type * as endpointRegistry from "./endpoint-registry.js";
@@ -67,14 +67,14 @@
   ) {}
 
   /** Decides whether a request is admitted, by the estimate of its best endpoint. */
-  admit(a: ask.Ask, best: choice.Estimate): admission.Decision {
+  admit(a: callerRequest.CallerRequest, best: choice.Estimate): admission.Decision {
     if (!a.service.engine) return { kind: "serve" };
     return admission.decide(timesOf(a, this.deps.clock.mono()), best);
   }
 
   /** Picks the best endpoint. Where none is usable, waits for a limited time until one is. */
   async pick(
-    a: ask.Ask,
+    a: callerRequest.CallerRequest,
     p: progress.Progress,
     signal: AbortSignal,
   ): Promise<choice.Estimate | undefined> {
@@ -83,7 +83,7 @@
       if (best || signal.aborted) return best;
       const isStarting = this.deps.endpoints.hasStartingEngine(a.service);
       const waitsUntil =
-        p.waitsFrom + admission.maxEndpointWaitMs(timesOf(a, p.waitsFrom), isStarting);
+        p.waitingSince + admission.maxEndpointWaitMs(timesOf(a, p.waitingSince), isStarting);
       const leftMs = Math.min(a.dueAt, waitsUntil) - this.deps.clock.mono();
       const opening = this.deps.endpoints.nextOpening(a.service);
       if (opening && !isStarting && opening.inMs > leftMs) {
@@ -95,7 +95,7 @@
       if (leftMs <= 0) return undefined;
       // Endpoints that failed may have recovered by now, so all of them are tried again.
       await this.untilAvailable(Math.min(leftMs, RETRY_MS, opening?.inMs ?? Infinity), signal);
-      p.tried.clear();
+      p.triedEndpoints.clear();
     }
   }
 
@@ -115,7 +115,7 @@
   }
 
   private candidates(
-    a: ask.Ask,
+    a: callerRequest.CallerRequest,
     p: progress.Progress,
     waitsAt?: string,
   ): readonly choice.Estimate[] {
@@ -123,7 +123,7 @@
     const { domain } = this;
     if (!a.service.engine || !target) {
       const views = this.deps.endpoints.views(a.service);
-      return choice.rankPlain(views, { domain, tried: p.tried }, this.deps.random);
+      return choice.rankPlain(views, { domain, tried: p.triedEndpoints }, this.deps.random);
     }
     const need: choice.Need = {
       model: target.model,
@@ -131,7 +131,7 @@
       promptTokens: a.meta.promptTokens,
       rank: a.route.rank,
       domain,
-      tried: p.tried,
+      tried: p.triedEndpoints,
       targetMs: a.arrivedAt + a.route.targetMs - this.deps.clock.mono(),
       waitsAt,
     };
@@ -139,13 +139,15 @@
   }
 
   /** Milliseconds for which a request may still wait for a seat. */
-  seatWaitLeftMs(a: ask.Ask, p: progress.Progress): number {
-    return p.waitsFrom + admission.maxSeatWaitMs(timesOf(a, p.waitsFrom)) - this.deps.clock.mono();
+  seatWaitLeftMs(a: callerRequest.CallerRequest, p: progress.Progress): number {
+    return (
+      p.waitingSince + admission.maxSeatWaitMs(timesOf(a, p.waitingSince)) - this.deps.clock.mono()
+    );
   }
 
   /** Requests a seat on an engine and waits for the answer, or until the request should move to another engine. */
   async acquireSeat(
-    a: ask.Ask,
+    a: callerRequest.CallerRequest,
     best: choice.Estimate,
     p: progress.Progress,
     signal: AbortSignal,
@@ -165,7 +167,7 @@
       rank: a.route.rank,
       targetMs: Math.max(0, a.arrivedAt + a.route.targetMs - now),
       leftMs: Math.max(1, this.seatWaitLeftMs(a, p)),
-      firm: p.diverted.has(endpoint.id) || p.diverted.size >= MAX_DIVERSIONS,
+      firm: p.divertedBy.has(endpoint.id) || p.divertedBy.size >= MAX_DIVERSIONS,
     });
     const withdraw = (): void => {
       pending.release("left");
@@ -184,17 +186,17 @@
       case "deny":
         p.why = `the endpoint daemon denied a seat: ${answer.reason}`;
         if (answer.reason === "busy") {
-          p.diverted.add(endpoint.id);
+          p.divertedBy.add(endpoint.id);
           return { kind: "diverted" };
         }
-        p.tried.add(endpoint.id);
+        p.triedEndpoints.add(endpoint.id);
         return { kind: "elsewhere" };
       case "unreachable":
         if (signal.aborted) return { kind: "elsewhere" };
         p.why = "the endpoint daemon is unreachable";
         // The engine may still have the adapter, and refuses a request for one that it does not have.
         if (choice.adapterState(best.view, key) === "resident") return { kind: "seatless" };
-        p.tried.add(endpoint.id);
+        p.triedEndpoints.add(endpoint.id);
         return { kind: "elsewhere" };
     }
   }
@@ -204,14 +206,14 @@
    * engine could serve the request sooner.
    */
   private answerOrMove(
-    a: ask.Ask,
+    a: callerRequest.CallerRequest,
     p: progress.Progress,
     best: choice.Estimate,
     pending: link.PendingSeat,
   ): Promise<link.Answer | { readonly kind: "moved" }> {
     return new Promise((resolve) => {
       const { id } = best.view.endpoint;
-      let intervalMs = FIRST_COMPARE_MS * 2 ** p.moves;
+      let intervalMs = FIRST_COMPARE_MS * 2 ** p.queueMoves;
       const move = (): void => {
         timer.cancel();
         resolve({ kind: "moved" });
@@ -219,7 +221,7 @@
       };
       const compare = (): void => {
         if (this.isSoonerElsewhere(a, p, id)) {
-          p.moves++;
+          p.queueMoves++;
           move();
           return;
         }
@@ -237,7 +239,11 @@
   }
 
   /** Whether another engine than `id` would now serve a request much sooner. */
-  private isSoonerElsewhere(a: ask.Ask, p: progress.Progress, id: string): boolean {
+  private isSoonerElsewhere(
+    a: callerRequest.CallerRequest,
+    p: progress.Progress,
+    id: string,
+  ): boolean {
     const list = this.candidates(a, p, id);
     const best = list[0];
     const current = list.find((e) => e.view.endpoint.id === id);
@@ -249,7 +255,7 @@
 }
 
 /** The rank, target and remaining time of a request at the monotonic ms `now`. */
-function timesOf(a: ask.Ask, now: number): admission.RequestTimes {
+function timesOf(a: callerRequest.CallerRequest, now: number): admission.RequestTimes {
   const { rank, targetMs, gapMs } = a.route;
   return { rank, targetMs, gapMs, leftMs: a.dueAt - now };
 }
--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -4,68 +4,73 @@
  * @module
  */
 import type * as record from "../host/record.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as authentication from "./authentication.js";
 import * as catalog from "./catalog.js";
 import type * as endpointRegistry from "./endpoint-registry.js";
 import * as identity from "./identity.js";
 import type * as meters from "./meters.js";
 import type * as progress from "./progress.js";
-import type * as retries from "./retries.js";
+import type * as retryBudget from "./retry-budget.js";
 import type * as suspects from "./suspects.js";
 import type * as workerNotices from "./worker-notices.js";
 
 export interface Deps {
   readonly log: record.Log;
   readonly catalog: () => catalog.Catalog;
-  readonly meters: meters.Meters;
+  readonly metrics: meters.Meters;
   readonly endpoints: Pick<endpointRegistry.EndpointRegistry, "mostHosts">;
   readonly suspects: suspects.Suspects;
   readonly notices: Pick<workerNotices.WorkerNotices, "of" | "opensInMs" | "reason">;
   /** Checks again whether the key of an admitted request still authorizes it. */
-  readonly authenticate: (req: ask.Ask) => authentication.Verdict;
+  readonly authenticate: (req: callerRequest.CallerRequest) => authentication.Verdict;
 }
 
 const UNAUTHORIZED = 401;
 
 /** Why a request is withheld: this endpoint cannot serve it but another may (`elsewhere`), or none may (`refused`). */
-export type Held = "elsewhere" | "refused";
+export type WithholdReason = "elsewhere" | "refused";
 
 /** Decides whether a request may be sent, and records why not. */
 export class SendChecks {
   constructor(
-    private readonly budget: retries.Budget,
+    private readonly budget: retryBudget.Budget,
     private readonly deps: Deps,
   ) {}
 
   /** Returns why a request must not be sent to an endpoint now, if so. Any send but the first is charged to the retry budget. */
-  held(
-    req: ask.Ask,
+  withholdReason(
+    req: callerRequest.CallerRequest,
     p: progress.Progress,
     e: catalog.Endpoint,
     permit: Pick<workerNotices.Granted, "isGood">,
-  ): Held | undefined {
+  ): WithholdReason | undefined {
     if (!catalog.isInUse(this.deps.catalog(), e)) {
-      p.tried.add(e.id);
+      p.triedEndpoints.add(e.id);
       p.withheld++;
       return "elsewhere";
     }
     if (!permit.isGood()) {
-      this.turned(req, p, e);
+      this.recordDeclined(req, p, e);
       return "elsewhere";
     }
     if (!this.isStillAuthorized(req, p) || this.isQuarantined(req, p)) return "refused";
-    return p.sends === 0 || this.mayBeRetried(req, p) ? undefined : "refused";
+    return p.sends === 0 || this.chargeRetry(req, p) ? undefined : "refused";
   }
 
   /** Whether an endpoint accepts requests from this host now, according to its notices. */
-  takes(e: catalog.Endpoint): boolean {
+  acceptsRequests(e: catalog.Endpoint): boolean {
     return this.deps.notices.opensInMs(e) === 0;
   }
 
   /** Records that a request is not sent to the endpoint chosen for it, because of the endpoint's notices or its limit. */
-  turned(req: ask.Ask, p: progress.Progress, e: catalog.Endpoint, limitWaitMs = 0): void {
-    const { notices, log, meters } = this.deps;
+  recordDeclined(
+    req: callerRequest.CallerRequest,
+    p: progress.Progress,
+    e: catalog.Endpoint,
+    limitWaitMs = 0,
+  ): void {
+    const { notices, log, metrics: meters } = this.deps;
     const reason = notices.reason(e) ?? "limit";
     const waitMs = Math.round(Math.max(limitWaitMs, notices.opensInMs(e)));
     p.withheld++;
@@ -81,11 +86,11 @@
   }
 
   /** Charges one more send to the retry budget, unless that was done already; whether the budget allows it. */
-  mayBeRetried(req: ask.Ask, p: progress.Progress): boolean {
-    if (p.retryIsCharged) return true;
+  chargeRetry(req: callerRequest.CallerRequest, p: progress.Progress): boolean {
+    if (p.isRetryCharged) return true;
     const service = req.service.name;
-    const verdict = this.budget.take(service, this.deps.endpoints.mostHosts());
-    this.deps.meters.retry(service, verdict.from);
+    const verdict = this.budget.takeRetry(service, this.deps.endpoints.mostHosts());
+    this.deps.metrics.retry(service, verdict.from);
     const message = verdict.from ? "A request may be retried." : "A retry is over the budget.";
     this.deps.log.info(message, {
       request: req.meta.id,
@@ -94,13 +99,13 @@
       ...verdict,
       tokens: Number(verdict.tokens.toFixed(1)),
     });
-    p.retryIsCharged = verdict.from !== undefined;
-    if (!p.retryIsCharged) p.why = "the retry budget is used up";
-    return p.retryIsCharged;
+    p.isRetryCharged = verdict.from !== undefined;
+    if (!p.isRetryCharged) p.why = "the retry budget is used up";
+    return p.isRetryCharged;
   }
 
   /** Whether a request is quarantined because workers end under it, as found by all hosts together. */
-  isQuarantined(req: ask.Ask, p: progress.Progress): boolean {
+  isQuarantined(req: callerRequest.CallerRequest, p: progress.Progress): boolean {
     const verdict = this.deps.suspects.judge(req);
     if (verdict.kind !== "quarantined") return false;
     p.why = `workers end under the request ${identity.of(req)}`;
@@ -109,7 +114,7 @@
   }
 
   /** Whether the key of a request still authorizes it; the key may have been revoked while the request waited. */
-  private isStillAuthorized(req: ask.Ask, p: progress.Progress): boolean {
+  private isStillAuthorized(req: callerRequest.CallerRequest, p: progress.Progress): boolean {
     const verdict = this.deps.authenticate(req);
     switch (verdict.kind) {
       case "open":
@@ -117,7 +122,7 @@
         return true;
       case "unknown":
         p.why = verdict.why;
-        p.refusal = UNAUTHORIZED;
+        p.refusalStatus = UNAUTHORIZED;
         return false;
       case "unsure":
         p.why = verdict.why;
--- a/src/serving/watch.ts
+++ b/src/serving/send-watchdog.ts
@@ -5,7 +5,7 @@
  */
 import type * as clock from "../host/clock.js";
 import type * as record from "../host/record.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
 import type * as endpointRegistry from "./endpoint-registry.js";
@@ -23,13 +23,13 @@
 const SILENT_CALL_TARGET_FACTOR = 0.75;
 
 /** Watchdog of one send. */
-export interface Watch {
+export interface Watchdog {
   /** Aborts when the send is to be broken off. */
   readonly signal: AbortSignal;
   /** To be called when the first event arrives; ends the wait for an answer. */
-  readonly answered: () => void;
+  readonly answerBegan: () => void;
   /** To be called when the send has ended. */
-  readonly end: () => void;
+  readonly close: () => void;
 }
 
 export interface Deps {
@@ -42,16 +42,16 @@
 }
 
 /** Starts watching the send of `req` to the endpoint of `best`; an abort of `stopSignal` breaks it off in any case. */
-export function open(
-  req: ask.Ask,
+export function start(
+  req: callerRequest.CallerRequest,
   p: progress.Progress,
   best: choice.Estimate,
   stopSignal: AbortSignal,
   deps: Deps,
-): Watch {
+): Watchdog {
   const { id } = best.view.endpoint;
   if (!catalog.repeatable(req.route)) {
-    return { signal: stopSignal, answered: () => undefined, end: () => undefined };
+    return { signal: stopSignal, answerBegan: () => undefined, close: () => undefined };
   }
   const controller = new AbortController();
   const stop = (): void => {
@@ -59,7 +59,7 @@
   };
   const onEndpointGone = (): void => {
     // If nothing was passed on yet, the send is broken off even without a retry, so that the caller is told at once.
-    if (!p.begun || deps.mayGoOn()) stop();
+    if (!p.hasResponseBegun || deps.mayGoOn()) stop();
   };
   const unwatch = deps.endpoints.watch(id, onEndpointGone);
   stopSignal.addEventListener("abort", stop, { once: true });
@@ -76,15 +76,15 @@
       endpoint: id,
       silentMs: Math.round(silentMs),
     });
-    deps.upstream.renew(id);
+    deps.upstream.replaceConnections(id);
     stop();
   };
-  const isRetryAllowed = p.runs + 1 < req.route.attempts && !p.begun;
+  const isRetryAllowed = p.runs + 1 < req.route.attempts && !p.hasResponseBegun;
   const timer = isRetryAllowed ? deps.clock.after(silentMs, onSilence) : undefined;
   return {
     signal: controller.signal,
-    answered: () => timer?.cancel(),
-    end: () => {
+    answerBegan: () => timer?.cancel(),
+    close: () => {
       timer?.cancel();
       stopSignal.removeEventListener("abort", stop);
       unwatch();
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -5,12 +5,12 @@
 import type * as clock from "../host/clock.js";
 import type * as record from "../host/record.js";
 import * as errors from "../host/why.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
 import type * as endpointRegistry from "./endpoint-registry.js";
 import * as ending from "./ending.js";
-import * as events from "./events.js";
+import * as eventSplitter from "./event-splitter.js";
 import * as exchange from "./exchange.js";
 import * as identity from "./identity.js";
 import type * as link from "./link.js";
@@ -21,26 +21,26 @@
 import type * as seatFinder from "./seat-finder.js";
 import type * as suspects from "./suspects.js";
 import * as upstream from "./upstream.js";
-import * as sendWatchdog from "./watch.js";
+import * as sendWatchdog from "./send-watchdog.js";
 import type * as workerNotices from "./worker-notices.js";
 
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: record.Log;
-  readonly meters: meters.Meters;
+  readonly metrics: meters.Meters;
   readonly endpoints: endpointRegistry.EndpointRegistry;
   readonly upstream: upstream.Upstream;
   readonly suspects: suspects.Suspects;
   readonly notices: workerNotices.WorkerNotices;
   readonly checks: sendChecks.SendChecks;
   /** Milliseconds since the catalog was last known to be up to date with the store. */
-  readonly newsAgeMs: () => number;
+  readonly catalogAgeMs: () => number;
 }
 
 /** Largest answer in bytes, other than a stream, that is held in memory; a larger one counts as broken off. */
 const MAX_ANSWER_BYTES = 8_388_608;
 /** Most sends of one request, including sends to endpoints that did not run it. */
-export const SENDS = 4;
+export const MAX_SENDS = 4;
 const OK_STATUS = 200;
 /** Lowest HTTP status that means that a request failed at its worker. */
 const FIRST_FAILURE_STATUS = 500;
@@ -51,11 +51,11 @@
 
   /** Sends a request to one endpoint; undefined if another endpoint is to be tried. */
   async send(
-    req: ask.Ask,
-    res: progress.Outlet,
+    req: callerRequest.CallerRequest,
+    res: progress.CallerResponse,
     p: progress.Progress,
     best: choice.Estimate,
-    grants: Leave,
+    grants: SendGrants,
     stopSignal: AbortSignal,
   ): Promise<progress.Ending | undefined> {
     const { endpoint } = best.view;
@@ -69,11 +69,11 @@
       version: seat?.version,
       rank: req.route.rank,
       leftMs,
-      resumeAfter: p.lastId,
+      resumeAfter: p.lastEventId,
       team: req.caller?.team.name,
     };
-    const mayGoOn = (): boolean => this.mayResend(req, p) && this.deps.checks.mayBeRetried(req, p);
-    const watchdog = sendWatchdog.open(req, p, best, stopSignal, { ...this.deps, mayGoOn });
+    const mayGoOn = (): boolean => this.mayResend(req, p) && this.deps.checks.chargeRetry(req, p);
+    const watchdog = sendWatchdog.start(req, p, best, stopSignal, { ...this.deps, mayGoOn });
     const send: SendState = {
       req,
       res,
@@ -87,11 +87,11 @@
     };
     const gate: exchange.Gate = {
       mayStart: () => {
-        send.withholdReason = this.deps.checks.held(req, p, endpoint, permit);
+        send.withholdReason = this.deps.checks.withholdReason(req, p, endpoint, permit);
         if (send.withholdReason === undefined) this.recordStart(send);
         return send.withholdReason === undefined;
       },
-      whenClosed: (callback) => this.deps.notices.whenClosed(endpoint.id, callback),
+      onClosed: (callback) => this.deps.notices.whenClosed(endpoint.id, callback),
     };
     try {
       const result = await this.deps.upstream.send(
@@ -103,7 +103,7 @@
       );
       return await this.handleResult(send, result);
     } finally {
-      watchdog.end();
+      watchdog.close();
     }
   }
 
@@ -113,19 +113,19 @@
     send.sentAt = this.deps.clock.mono();
     send.startedAt = this.deps.clock.steady();
     p.sends++;
-    p.newsMs = Math.round(this.deps.newsAgeMs());
-    p.retryIsCharged = false;
+    p.catalogAgeMs = Math.round(this.deps.catalogAgeMs());
+    p.isRetryCharged = false;
     const { notices } = this.deps;
     notices.sent(endpoint);
     if (notices.of(endpoint.id) !== undefined) {
-      this.deps.meters.noticed(req.service.name, "limit", "sent");
+      this.deps.metrics.noticed(req.service.name, "limit", "sent");
     }
   }
 
   /** Settles a send by its result; undefined if another endpoint is to be tried. */
   private handleResult(
     send: SendState,
-    result: upstream.Sent,
+    result: upstream.SendResult,
   ): Promise<progress.Ending | undefined> | progress.Ending | undefined {
     const { p } = send;
     switch (result.kind) {
@@ -154,7 +154,7 @@
     const { req, res, p } = send;
     send.grants.permit.giveBack();
     this.settle(send, "left", undefined);
-    if (send.withholdReason === undefined) this.deps.checks.turned(req, p, send.endpoint);
+    if (send.withholdReason === undefined) this.deps.checks.recordDeclined(req, p, send.endpoint);
     return send.withholdReason === "refused"
       ? ending.giveUp(this.deps.clock, req, res, p, false)
       : undefined;
@@ -162,7 +162,7 @@
 
   /** Handles a request of which nothing was sent: no connection was made, or it was given up before. */
   private handleUnsent(send: SendState, why: string): void {
-    const isStoppedHere = send.res.gone.aborted || send.stopSignal.aborted;
+    const isStoppedHere = send.res.disconnected.aborted || send.stopSignal.aborted;
     send.grants.permit.giveBack();
     send.p.sends++;
     this.recordNotRun(send, why);
@@ -173,8 +173,8 @@
   private recordNotRun(send: SendState, why: string): void {
     const { p, endpoint } = send;
     p.why = `${endpoint.id} did not run the request: ${why}`;
-    p.tried.add(endpoint.id);
-    p.waitsFrom = this.deps.clock.mono();
+    p.triedEndpoints.add(endpoint.id);
+    p.waitingSince = this.deps.clock.mono();
     this.logFailedSend(send, "It was not run there.");
   }
 
@@ -214,7 +214,7 @@
     send: SendState,
     why: string,
   ): Promise<progress.Ending | undefined> {
-    const isStoppedHere = send.res.gone.aborted || send.stopSignal.aborted;
+    const isStoppedHere = send.res.disconnected.aborted || send.stopSignal.aborted;
     if (!isStoppedHere) {
       const underWayMs = this.deps.clock.mono() - send.sentAt;
       const examination = this.deps.suspects.broke(send.req, send.endpoint, underWayMs);
@@ -228,12 +228,12 @@
   private handleBroken(send: SendState, why: string): progress.Ending | undefined {
     const { req, res, p } = send;
     p.why = `${send.endpoint.id} broke off: ${why}`;
-    if (res.gone.aborted || send.stopSignal.aborted) {
+    if (res.disconnected.aborted || send.stopSignal.aborted) {
       this.settle(send, "left", undefined);
-      return res.gone.aborted ? "left" : ending.giveUp(this.deps.clock, req, res, p, true);
+      return res.disconnected.aborted ? "left" : ending.giveUp(this.deps.clock, req, res, p, true);
     }
-    p.tried.add(send.endpoint.id);
-    p.waitsFrom = this.deps.clock.mono();
+    p.triedEndpoints.add(send.endpoint.id);
+    p.waitingSince = this.deps.clock.mono();
     this.settle(send, "failed", false);
     this.deps.log.warn("A send broke off.", {
       request: req.meta.id,
@@ -241,7 +241,7 @@
       identity: identity.of(req),
       endpoint: send.endpoint.id,
       send: p.sends,
-      underWayMs: Math.round(p.waitsFrom - send.sentAt),
+      underWayMs: Math.round(p.waitingSince - send.sentAt),
       why: p.why,
     });
     if (catalog.repeatable(req.route)) return undefined;
@@ -256,7 +256,7 @@
       catalog.repeatable(req.route) &&
       this.mayResend(req, p)
     ) {
-      await upstream.dump(result.body);
+      await upstream.discard(result.body);
       return this.handleBroken(send, `status ${result.status}`);
     }
     if (req.route.kind === "stream" && result.status === OK_STATUS)
@@ -265,8 +265,8 @@
   }
 
   /** Whether the route's attempts and the limit on sends allow another send after one that ran. */
-  private mayResend(req: ask.Ask, p: progress.Progress): boolean {
-    return p.runs < req.route.attempts && p.sends < SENDS;
+  private mayResend(req: callerRequest.CallerRequest, p: progress.Progress): boolean {
+    return p.runs < req.route.attempts && p.sends < MAX_SENDS;
   }
 
   /** Reads an answer whole before any of it is passed on. */
@@ -274,17 +274,17 @@
     const { req, res, p } = send;
     let body: Buffer;
     try {
-      body = await exchange.whole(result.body, MAX_ANSWER_BYTES);
+      body = await exchange.readAll(result.body, MAX_ANSWER_BYTES);
     } catch (err) {
       return this.handleLostConnection(send, errors.why(err));
     }
-    if (p.begun)
+    if (p.hasResponseBegun)
       return this.handleBroken(send, `status ${result.status} instead of the rest of a stream`);
-    p.firstAt = this.deps.clock.mono();
+    p.firstByteAt = this.deps.clock.mono();
     const isFailure = result.status >= FIRST_FAILURE_STATUS;
     this.settle(send, isFailure ? "failed" : "whole", !isFailure);
     this.deps.suspects.ran(req);
-    res.answer(result.status, result.headers, body);
+    res.sendWhole(result.status, result.headers, body);
     if (!isFailure) return "whole";
     p.why = `${send.endpoint.id} answered with status ${result.status}`;
     return "passed_failure";
@@ -293,35 +293,36 @@
   /** Passes a stream on, one whole event at a time, without the events that the caller has already. */
   private async relayStream(send: SendState, result: Answer): Promise<progress.Ending | undefined> {
     const { res, p } = send;
-    const splitter = new events.Cutter();
-    const resumedAfter = p.lastId;
+    const splitter = new eventSplitter.EventSplitter();
+    const resumedAfter = p.lastEventId;
     let isFirst = true;
     try {
       await result.body.pump((chunk) => {
         const ready: Buffer[] = [];
-        for (const e of splitter.take(chunk)) {
-          if (p.begun && resumedAfter !== undefined && wasPassedOn(e.id, resumedAfter)) continue;
-          if (e.id !== undefined) p.lastId = e.id;
+        for (const e of splitter.push(chunk)) {
+          if (p.hasResponseBegun && resumedAfter !== undefined && wasPassedOn(e.id, resumedAfter))
+            continue;
+          if (e.id !== undefined) p.lastEventId = e.id;
           ready.push(e.bytes);
         }
         if (ready.length === 0) return undefined;
         if (isFirst) {
           isFirst = false;
-          send.watchdog.answered();
+          send.watchdog.answerBegan();
           send.grants.seat?.began(this.deps.clock.mono() - send.sentAt);
         }
-        if (!p.begun) {
-          p.begun = true;
-          p.firstAt = this.deps.clock.mono();
-          res.begin(result.status, result.headers);
+        if (!p.hasResponseBegun) {
+          p.hasResponseBegun = true;
+          p.firstByteAt = this.deps.clock.mono();
+          res.writeHead(result.status, result.headers);
         }
         return res.write(ready.length === 1 && ready[0] ? ready[0] : Buffer.concat(ready));
       });
     } catch (err) {
       return this.handleLostConnection(send, errors.why(err));
     }
-    if (!p.begun) res.begin(result.status, result.headers);
-    if (splitter.tail().length > 0) void res.write(splitter.tail());
+    if (!p.hasResponseBegun) res.writeHead(result.status, result.headers);
+    if (splitter.remainder().length > 0) void res.write(splitter.remainder());
     this.settle(send, "whole", true);
     this.deps.suspects.ran(send.req);
     res.end();
@@ -330,10 +331,10 @@
 }
 
 /** A send's result that carries an answer. */
-type Answer = Extract<upstream.Sent, { kind: "answer" }>;
+type Answer = Extract<upstream.SendResult, { kind: "answer" }>;
 
 /** The seat and the permit that a request holds for one send. */
-export interface Leave {
+export interface SendGrants {
   /** Seat in the engine's batch; undefined for plain services, whose endpoints grant no seats. */
   readonly seat: seatFinder.GrantedSeat | undefined;
   readonly permit: workerNotices.Granted;
@@ -341,20 +342,20 @@
 
 /** State of one send in flight. */
 interface SendState {
-  readonly req: ask.Ask;
-  readonly res: progress.Outlet;
+  readonly req: callerRequest.CallerRequest;
+  readonly res: progress.CallerResponse;
   readonly p: progress.Progress;
   readonly endpoint: catalog.Endpoint;
-  readonly grants: Leave;
+  readonly grants: SendGrants;
   /** Monotonic ms at which the send was requested; once the request is written, the ms at which that began. */
   sentAt: number;
   /** Steady-clock ms at which writing the request began. */
   startedAt?: number;
   /** Aborts when the caller goes away or the deadline passes. */
   readonly stopSignal: AbortSignal;
-  readonly watchdog: sendWatchdog.Watch;
+  readonly watchdog: sendWatchdog.Watchdog;
   /** Why the request was withheld, if it was. */
-  withholdReason: sendChecks.Held | undefined;
+  withholdReason: sendChecks.WithholdReason | undefined;
 }
 
 /** Whether an event of a resumed stream was already passed on, by comparing its id with the last one passed on. */
--- a/src/serving/standstill.ts
+++ b/src/serving/stall-detector.ts
@@ -12,27 +12,30 @@
 const CATCH_UP_MS = 500;
 
 /** Last beat of a process, and the end of its catching up after a stall; both in monotonic ms. */
-export interface Pulse {
-  readonly at: number;
-  readonly catchesUpUntil: number;
+export interface StallState {
+  readonly lastBeatAt: number;
+  readonly catchingUpUntil: number;
 }
 
 /** State of a process that starts at `now`. */
-export function begin(now: number): Pulse {
-  return { at: now, catchesUpUntil: -Infinity };
+export function start(now: number): StallState {
+  return { lastBeatAt: now, catchingUpUntil: -Infinity };
 }
 
 /** Whether the next beat is so late that the process must have been stalled. */
-function hasStalled(s: Pulse, now: number): boolean {
-  return now - s.at > BEAT_MS + MAX_BEAT_DELAY_MS;
+function hasStalled(s: StallState, now: number): boolean {
+  return now - s.lastBeatAt > BEAT_MS + MAX_BEAT_DELAY_MS;
 }
 
 /** State after a beat at `now`. */
-export function beat(s: Pulse, now: number): Pulse {
-  return { at: now, catchesUpUntil: hasStalled(s, now) ? now + CATCH_UP_MS : s.catchesUpUntil };
+export function recordBeat(s: StallState, now: number): StallState {
+  return {
+    lastBeatAt: now,
+    catchingUpUntil: hasStalled(s, now) ? now + CATCH_UP_MS : s.catchingUpUntil,
+  };
 }
 
 /** Whether what is read at `now` may have arrived during a stall. */
-export function isCatchingUp(s: Pulse, now: number): boolean {
-  return hasStalled(s, now) || now < s.catchesUpUntil;
+export function isCatchingUp(s: StallState, now: number): boolean {
+  return hasStalled(s, now) || now < s.catchingUpUntil;
 }
--- a/src/serving/suspects.ts
+++ b/src/serving/suspects.ts
@@ -7,7 +7,7 @@
 import * as clock from "../host/clock.js";
 import * as errors from "../host/why.js";
 import type * as record from "../host/record.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as autopsy from "./autopsy.js";
 import * as catalog from "./catalog.js";
 import * as hearsay from "./hearsay.js";
@@ -58,7 +58,7 @@
   }
 
   /** The verdict on a request. Costs nothing while no request is suspected or quarantined. */
-  judge(a: ask.Ask): suspicion.Verdict {
+  judge(a: callerRequest.CallerRequest): suspicion.Verdict {
     const { quarantined } = this.deps.catalog();
     if (this.known.isQuiet && quarantined.size === 0) return suspicion.FREE;
     const id = identity.of(a);
@@ -78,7 +78,11 @@
    * Records that a send broke off after `underWayMs`; resolves once it is known whether the worker
    * crashed.
    */
-  async broke(a: ask.Ask, worker: catalog.Endpoint, underWayMs: number): Promise<void> {
+  async broke(
+    a: callerRequest.CallerRequest,
+    worker: catalog.Endpoint,
+    underWayMs: number,
+  ): Promise<void> {
     // A worker that announced that it is leaving ends as planned; that proves nothing.
     if (!catalog.isInUse(this.deps.catalog(), worker)) return;
     if (!(await this.deps.autopsy.hasEnded(worker))) return;
@@ -128,7 +132,7 @@
   }
 
   /** Records that a request ran to its end, which voids the crashes known for it. */
-  ran(a: ask.Ask): void {
+  ran(a: callerRequest.CallerRequest): void {
     if (this.known.isQuiet) return;
     const id = identity.of(a);
     const crashes = this.known.book.ends.get(id);
--- a/src/serving/upstream.ts
+++ b/src/serving/upstream.ts
@@ -5,7 +5,7 @@
 import type * as net from "node:net";
 import * as undici from "undici";
 import * as errors from "../host/why.js";
-import type * as ask from "./ask.js";
+import type * as callerRequest from "./caller-request.js";
 import type * as catalog from "./catalog.js";
 import * as exchange from "./exchange.js";
 import type * as headers from "./headers.js";
@@ -13,7 +13,7 @@
 import type * as protocol from "./protocol.js";
 
 /** Result of a send, before any byte of its answer is passed on. */
-export type Sent =
+export type SendResult =
   /** The endpoint answered this request; the body is still to be read. */
   | {
       readonly kind: "answer";
@@ -121,12 +121,12 @@
    * the endpoint stops.
    */
   async send(
-    req: ask.Ask,
+    req: callerRequest.CallerRequest,
     e: catalog.Endpoint,
-    attributes: protocol.Marks,
+    attributes: protocol.SendAttributes,
     signal: AbortSignal,
-    gate: exchange.Gate = exchange.OPEN,
-  ): Promise<Sent> {
+    gate: exchange.Gate = exchange.ALWAYS_OPEN,
+  ): Promise<SendResult> {
     const transfer = new exchange.Exchange(signal, gate);
     let head: exchange.Head;
     try {
@@ -134,7 +134,7 @@
         {
           method: req.method,
           path: req.path,
-          headers: { ...req.headers, ...this.wire.marks(attributes) } as Record<
+          headers: { ...req.headers, ...this.wire.sendHeaders(attributes) } as Record<
             string,
             string | string[]
           >,
@@ -151,23 +151,27 @@
   }
 
   /** Classifies an answer by its head. */
-  private async classify(req: ask.Ask, head: exchange.Head, body: exchange.Body): Promise<Sent> {
+  private async classify(
+    req: callerRequest.CallerRequest,
+    head: exchange.Head,
+    body: exchange.Body,
+  ): Promise<SendResult> {
     const { status, headers } = head;
-    const answeredId = this.wire.answered(headers);
-    const claimsNotRun = this.wire.notRun(status, headers);
+    const answeredId = this.wire.answeredRequestId(headers);
+    const claimsNotRun = this.wire.saysNotRun(status, headers);
     const notice = this.wire.notice(status, headers);
     if (answeredId !== req.meta.id && !(answeredId === undefined && claimsNotRun)) {
       // The bytes belong to another request, so the connection can no longer be trusted.
-      body.drop();
+      body.abort();
       return { kind: "unknown", why: "the answer names another request" };
     }
     if (claimsNotRun) {
-      await dump(body);
+      await discard(body);
       const why = `status ${status}`;
       return { kind: "not_run", why, absent: status === MISDIRECTED, notice };
     }
-    if (status >= 200 && status < 300 && !this.wire.signed(headers)) {
-      body.drop();
+    if (status >= 200 && status < 300 && !this.wire.isSigned(headers)) {
+      body.abort();
       return { kind: "unknown", why: "the answer carries no signature" };
     }
     return { kind: "answer", status, headers, body, notice };
@@ -177,7 +181,7 @@
    * Opens new connections to an endpoint for all requests from now on. The existing ones may be dead without a reset;
    * requests in flight on them end by themselves.
    */
-  renew(id: string): void {
+  replaceConnections(id: string): void {
     const pool = this.pools.get(id);
     if (!pool) return;
     this.pools.delete(id);
@@ -185,7 +189,7 @@
   }
 
   /** Closes the connections to all endpoints that are not in `ids`. */
-  keep(ids: ReadonlySet<string>): void {
+  retain(ids: ReadonlySet<string>): void {
     for (const [id, pool] of this.pools) {
       if (ids.has(id)) continue;
       this.pools.delete(id);
@@ -200,7 +204,7 @@
 }
 
 /** Reads and discards an answer, so that its connection can be reused. */
-export async function dump(body: exchange.Body): Promise<void> {
+export async function discard(body: exchange.Body): Promise<void> {
   try {
     await body.pump(() => undefined);
   } catch {
--- a/test/platform/callers.test.ts
+++ b/test/platform/callers.test.ts
@@ -13,7 +13,7 @@
 import * as door from "../../src/serving/door.js";
 import * as front from "../../src/serving/front.js";
 import * as meters from "../../src/serving/meters.js";
-import * as dispatching from "../serving/dispatching.js";
+import * as dispatcherFixture from "../serving/dispatcher-fixture.js";
 import * as fixtures from "../serving/fixtures.js";
 
 const { expect } = chai;
@@ -84,7 +84,12 @@
     labels: { "sumacfield/service": "guide" },
   };
   let current = catalog.step(withConfig(catalog.EMPTY, 1, TEAMS), { kind: "endpoint", endpoint });
-  const testDispatcher = dispatching.open(() => current, undefined, clock.system, wire.PROTOCOL);
+  const testDispatcher = dispatcherFixture.create(
+    () => current,
+    undefined,
+    clock.system,
+    wire.PROTOCOL,
+  );
   const sharedLimiter = new limiter.Limiter({
     clock: clock.system,
     log: record.silent,
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -218,7 +218,7 @@
   });
 
   it("marks a request with what the endpoint must hold to", () => {
-    const marks = wire.PROTOCOL.marks({ instance: "i-1", version: 3, rank: 12, leftMs: 700 });
+    const marks = wire.PROTOCOL.sendHeaders({ instance: "i-1", version: 3, rank: 12, leftMs: 700 });
     expect(marks).deep.equal({
       "x-sumacfield-expect-instance": "i-1",
       "x-sumacfield-deadline-ms": "700",
@@ -246,7 +246,7 @@
   });
 
   it("believes only what vouches that nothing ran", () => {
-    const { notRun } = wire.PROTOCOL;
+    const { saysNotRun: notRun } = wire.PROTOCOL;
     expect(notRun(421, {})).equal(true);
     expect(notRun(503, { "x-sumacfield-not-executed": "1" })).equal(true);
     expect(notRun(503, {})).equal(false);
--- a/test/serving/decisions.test.ts
+++ b/test/serving/decisions.test.ts
@@ -5,16 +5,16 @@
 import * as backlog from "../../src/serving/backlog.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as choice from "../../src/serving/choice.js";
-import * as events from "../../src/serving/events.js";
-import * as retries from "../../src/serving/retries.js";
+import * as eventSplitter from "../../src/serving/event-splitter.js";
+import * as retryBudget from "../../src/serving/retry-budget.js";
 import * as warmth from "../../src/serving/warmth.js";
 import * as reading from "../../src/serving/reading.js";
 import * as fixtures from "./fixtures.js";
-import * as retrying from "./retrying.js";
+import * as retrySimulation from "./retry-simulation.js";
 
 const { expect } = chai;
 
-const BUDGET: retries.Options = { ratio: 0.2, slack: 40, windowMs: 10_000 };
+const BUDGET: retryBudget.Options = { ratio: 0.2, slack: 40, windowMs: 10_000 };
 
 describe("retries", () => {
   it("stay within ratio and slack in any window, over all hosts together", () => {
@@ -25,8 +25,8 @@
     fc.assert(
       fc.property(tries, (steps) => {
         let now = 0;
-        const clk = new retrying.ProcessClock(() => now);
-        const hosts = Array.from({ length: 4 }, () => new retries.Budget(BUDGET, clk));
+        const clk = new retrySimulation.ProcessClock(() => now);
+        const hosts = Array.from({ length: 4 }, () => new retryBudget.Budget(BUDGET, clk));
         const asked: number[] = [];
         const taken: number[] = [];
         for (const [h, isRequest, ms] of steps) {
@@ -34,10 +34,10 @@
           clk.run();
           if (isRequest) {
             asked.push(now);
-            hosts[h]?.request("s");
+            hosts[h]?.recordRequest("s");
             continue;
           }
-          if (hosts[h]?.take("s", 4).from) taken.push(now);
+          if (hosts[h]?.takeRetry("s", 4).from) taken.push(now);
         }
         for (const end of taken) {
           const within = (t: number): boolean => t > end - BUDGET.windowMs && t <= end;
@@ -65,25 +65,25 @@
             return `id: ${id}${end}data: ${data}${end}${end}`;
           });
           const whole = Buffer.from(texts.join(""));
-          const cutter = new events.Cutter();
-          const got: events.Event[] = [];
+          const cutter = new eventSplitter.EventSplitter();
+          const got: eventSplitter.Event[] = [];
           for (let at = 0, i = 0; at < whole.length; i++) {
             const next = at + (cuts[i % cuts.length] ?? 1);
-            got.push(...cutter.take(whole.subarray(at, next)));
+            got.push(...cutter.push(whole.subarray(at, next)));
             at = next;
           }
           expect(got.map((e) => e.bytes.toString())).deep.equal(texts);
           expect(got.map((e) => e.id)).deep.equal(list.map((l) => String(l.id)));
-          expect(cutter.tail().length).equal(0);
+          expect(cutter.remainder().length).equal(0);
         },
       ),
     );
   });
 
   it("are held back until they are complete", () => {
-    const cutter = new events.Cutter();
-    expect(cutter.take(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"))).length(1);
-    expect(cutter.tail().toString()).equal("id: 2\nda");
+    const cutter = new eventSplitter.EventSplitter();
+    expect(cutter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"))).length(1);
+    expect(cutter.remainder().toString()).equal("id: 2\nda");
   });
 });
 
--- a/test/serving/dispatch.test.ts
+++ b/test/serving/dispatch.test.ts
@@ -2,10 +2,10 @@
 import type * as net from "node:net";
 import * as chai from "chai";
 import * as clock from "../../src/host/clock.js";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import * as catalog from "../../src/serving/catalog.js";
 import type * as progress from "../../src/serving/progress.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as fixtures from "./fixtures.js";
 
 const { expect } = chai;
@@ -18,10 +18,10 @@
   end: "whole" | "broken" | "open";
 }
 
-function callerResponse(gone: AbortSignal, seen: Seen): progress.Outlet {
+function callerResponse(gone: AbortSignal, seen: Seen): progress.CallerResponse {
   return {
-    gone,
-    begin: (status) => {
+    disconnected: gone,
+    writeHead: (status) => {
       seen.status = status;
     },
     write: (bytes) => {
@@ -31,10 +31,10 @@
     end: () => {
       seen.end = "whole";
     },
-    breakOff: () => {
+    abort: () => {
       seen.end = "broken";
     },
-    answer: (status, _headers, body) => {
+    sendWhole: (status, _headers, body) => {
       seen.status = status;
       seen.body = body.toString();
       seen.end = "whole";
@@ -63,10 +63,10 @@
 /** Serves one request on a service with a worker at each address. */
 async function serve(
   addresses: readonly string[],
-  overrides: Partial<ask.Ask> = {},
+  overrides: Partial<callerRequest.CallerRequest> = {},
   gone: AbortSignal = new AbortController().signal,
 ): Promise<Seen> {
-  const setup = dispatching.open(catalogOf(addresses));
+  const setup = dispatcherFixture.create(catalogOf(addresses));
   const seen = nothingSeen();
   try {
     await setup.dispatcher.serve(fixtures.request(overrides), callerResponse(gone, seen));
@@ -171,7 +171,7 @@
       }, 20);
     });
     const current = catalogOf([worker.address]);
-    const setup = dispatching.open(current);
+    const setup = dispatcherFixture.create(current);
     const serveOne = async (): Promise<number> => {
       const seen = nothingSeen();
       const res = callerResponse(new AbortController().signal, seen);
--- a/test/serving/dispatching.ts
+++ b/test/serving/dispatcher-fixture.ts
@@ -6,14 +6,14 @@
 import * as record from "../../src/host/record.js";
 import type * as authentication from "../../src/serving/authentication.js";
 import * as autopsy from "../../src/serving/autopsy.js";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import type * as catalog from "../../src/serving/catalog.js";
 import * as dispatch from "../../src/serving/dispatch.js";
 import * as endpointRegistry from "../../src/serving/endpoint-registry.js";
 import * as meters from "../../src/serving/meters.js";
 import type * as protocol from "../../src/serving/protocol.js";
 import type * as progress from "../../src/serving/progress.js";
-import type * as retries from "../../src/serving/retries.js";
+import type * as retryBudget from "../../src/serving/retry-budget.js";
 import * as suspects from "../../src/serving/suspects.js";
 import * as limiter from "../../src/serving/limiter.js";
 import * as workerNotices from "../../src/serving/worker-notices.js";
@@ -21,19 +21,21 @@
 import * as fixtures from "./fixtures.js";
 
 /** Retry budget that allows even the first request a few retries. */
-const RETRIES: retries.Options = { ratio: 16, slack: 0, windowMs: 10_000 };
+const RETRIES: retryBudget.Options = { ratio: 16, slack: 0, windowMs: 10_000 };
 
 /**
  * Creates a dispatcher over a catalog, or over a function that returns the current one. `daemonOf` returns the address of an
  * engine's endpoint daemon.
  */
-export function open(
+export function create(
   current: catalog.Catalog | (() => catalog.Catalog),
   daemonOf: (e: catalog.Endpoint) => string = (e) => e.address,
   clk: clock.Clock = clock.system,
   wire: protocol.Protocol = fixtures.WIRE,
-  authenticate: (a: ask.Ask) => authentication.Verdict = () => ({ kind: "open" }),
-  budget: retries.Options = RETRIES,
+  authenticate: (a: callerRequest.CallerRequest) => authentication.Verdict = () => ({
+    kind: "open",
+  }),
+  budget: retryBudget.Options = RETRIES,
 ) {
   const currentCatalog = typeof current === "function" ? current : () => current;
   const known = new endpointRegistry.EndpointRegistry(
@@ -81,16 +83,16 @@
     claim: () => Promise.resolve(true),
   });
   const upstreamPools = new upstream.Upstream(wire);
-  const dispatcher = new dispatch.Dispatch(
+  const dispatcher = new dispatch.Dispatcher(
     { domain: "d1", retries: budget },
     {
       clock: clk,
       log: record.silent,
-      meters: meters.open(),
+      metrics: meters.open(),
       endpoints: known,
       upstream: upstreamPools,
       catalog: currentCatalog,
-      newsAgeMs: () => 0,
+      catalogAgeMs: () => 0,
       suspects: suspectList,
       notices,
       authenticate,
@@ -112,22 +114,29 @@
 }
 
 /** A response to a caller that records the calls made on it. */
-export function recorded(): { readonly outlet: progress.Outlet; readonly seen: readonly string[] } {
+export function recorded(): {
+  readonly outlet: progress.CallerResponse;
+  readonly seen: readonly string[];
+} {
   const seen: string[] = [];
-  const outlet: progress.Outlet = {
-    gone: new AbortController().signal,
-    begin: (status) => seen.push(`begin ${status}`),
+  const outlet: progress.CallerResponse = {
+    disconnected: new AbortController().signal,
+    writeHead: (status) => seen.push(`begin ${status}`),
     write: () => undefined,
     end: () => seen.push("end"),
-    breakOff: () => seen.push("broken"),
-    answer: (status) => seen.push(`answer ${status}`),
+    abort: () => seen.push("broken"),
+    sendWhole: (status) => seen.push(`answer ${status}`),
     refuse: (status) => seen.push(`refuse ${status}`),
   };
   return { outlet, seen };
 }
 
 /** A streaming request for the adapter `a` of the model `m`, with a deadline `waitMs` from now. */
-export function streamed(service: catalog.Service, route: catalog.Route, waitMs: number): ask.Ask {
+export function streamRequest(
+  service: catalog.Service,
+  route: catalog.Route,
+  waitMs: number,
+): callerRequest.CallerRequest {
   return fixtures.request({
     route,
     service,
--- a/test/serving/fixtures.ts
+++ b/test/serving/fixtures.ts
@@ -4,7 +4,7 @@
  */
 import * as http from "node:http";
 import * as net from "node:net";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import type * as catalog from "../../src/serving/catalog.js";
 import type * as choice from "../../src/serving/choice.js";
 import * as notices from "../../src/serving/notices.js";
@@ -56,21 +56,21 @@
     const key = text(h["test-key"]);
     return key === undefined ? { kind: "missing" } : { kind: "key", key };
   },
-  marks: (m) => ({
+  sendHeaders: (m) => ({
     "test-instance": m.instance,
     "test-left": String(m.leftMs),
     ...(m.resumeAfter !== undefined && { "last-event-id": m.resumeAfter }),
     ...(m.team !== undefined && { "test-team": m.team }),
   }),
-  answered: (h) => text(h["test-id"]),
-  notRun: (status, h) => status === 421 || text(h["test-not-run"]) !== undefined,
-  signed: (h) => text(h["test-signed"]) !== undefined,
+  answeredRequestId: (h) => text(h["test-id"]),
+  saysNotRun: (status, h) => status === 421 || text(h["test-not-run"]) !== undefined,
+  isSigned: (h) => text(h["test-signed"]) !== undefined,
   notice: (status, h) => ({
     limit: number(h["test-limit"]),
     leaving: text(h["test-leaving"]) === "1" ? { kind: "said", value: true } : notices.UNSAID,
     retryAfterMs: status === 503 ? number(h["test-retry-after-ms"]) : notices.UNSAID,
   }),
-  comeBack: (ms) => ({ "retry-after": String(ms / 1000) }),
+  retryAfterHeaders: (ms) => ({ "retry-after": String(ms / 1000) }),
 };
 
 function number(value: string | readonly string[] | undefined): notices.Said<number> {
@@ -147,7 +147,9 @@
 }
 
 /** A request for the sample service that arrives now, except for the fields in `over`. */
-export function request(over: Partial<ask.Ask> = {}): ask.Ask {
+export function request(
+  over: Partial<callerRequest.CallerRequest> = {},
+): callerRequest.CallerRequest {
   const now = performance.now();
   return {
     meta: { id: "r1", waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] },
--- a/test/serving/host-count.test.ts
+++ b/test/serving/host-count.test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import * as catalog from "../../src/serving/catalog.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as engines from "./engines.js";
 import * as fixtures from "./fixtures.js";
 import * as telling from "./telling.js";
@@ -21,7 +21,7 @@
       config: fixtures.CONFIG,
       endpoints: new Map([[e.id, e]]),
     };
-    const { known, close } = dispatching.open(at, () => daemon.address);
+    const { known, close } = dispatcherFixture.create(at, () => daemon.address);
     try {
       expect(known.mostHosts()).equal(undefined);
       const link = known.link(e);
--- a/test/serving/incarnation.test.ts
+++ b/test/serving/incarnation.test.ts
@@ -4,7 +4,7 @@
 import * as catalog from "../../src/serving/catalog.js";
 import * as incarnation from "../../src/serving/incarnation.js";
 import * as choice from "../../src/serving/choice.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as engines from "./engines.js";
 import * as fixtures from "./fixtures.js";
 import * as telling from "./telling.js";
@@ -117,7 +117,7 @@
     const [old, next] = [incarnation.idOf("w", 1), incarnation.idOf("w", 2)];
     const daemon = await telling.open(telling.state(old), telling.holdings("m/a"));
     let at: catalog.Catalog = { ...catalog.EMPTY, config: engines.configOf(2) };
-    const made = dispatching.open(
+    const made = dispatcherFixture.create(
       () => at,
       () => daemon.address,
     );
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -1,10 +1,10 @@
 import * as timers from "node:timers/promises";
 import * as chai from "chai";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as incarnation from "../../src/serving/incarnation.js";
 import type * as noticeMessages from "../../src/serving/notice-messages.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as engines from "./engines.js";
 import * as fixtures from "./fixtures.js";
 import * as waitingStream from "./waiting-stream.js";
@@ -35,13 +35,19 @@
   const config: catalog.Step = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
   let at = catalog.steps(catalog.EMPTY, [config, ...entries]).at;
-  const made = dispatching.open(() => at);
+  const made = dispatcherFixture.create(() => at);
   cleanups.push(made.close);
   let count = 0;
   const serve = async (): Promise<readonly string[]> => {
     const id = `r${count++}`;
-    const { outlet, seen } = dispatching.recorded();
-    const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
+    const { outlet, seen } = dispatcherFixture.recorded();
+    const meta: callerRequest.Meta = {
+      id,
+      waitMs: 1000,
+      promptTokens: 0,
+      answerTokens: 0,
+      parts: [],
+    };
     await made.dispatcher.serve(fixtures.request({ meta, headers: { "test-id": id } }), outlet);
     return seen;
   };
@@ -62,7 +68,7 @@
 
 describe("a leaving endpoint", () => {
   afterEach(() => {
-    waitingStream.endAll();
+    waitingStream.closeAll();
     engines.endAll();
     for (const cleanup of cleanups.splice(0)) cleanup();
   });
@@ -76,7 +82,7 @@
   it("gets no request that waited for a seat while its daemon fell silent", async () => {
     const waits = await waitingStream.begin({ route: { targetMs: 1000, timeoutMs: 1500 } });
     waits.change({ kind: "endpoint", endpoint: { ...waits.endpoint, leaving: true } });
-    const { runs, seen } = await waits.over();
+    const { runs, seen } = await waits.ended();
     expect(runs).equal(0);
     expect(seen).deep.equal(["refuse 503"]);
   });
@@ -120,7 +126,7 @@
     waits.notices.learn(leaving(waits.endpoint.id), "10.0.0.9:1");
     await engines.until(() => waits.daemon.heard.includes("over"));
     expect(performance.now() - began).below(100);
-    expect(await waits.over()).include({ runs: 0 });
+    expect(await waits.ended()).include({ runs: 0 });
   });
 
   it("finishes the requests that it is running", async () => {
--- a/test/serving/limited.test.ts
+++ b/test/serving/limited.test.ts
@@ -2,12 +2,12 @@
 import * as chai from "chai";
 import * as wire from "../../platform/wire.js";
 import * as admission from "../../src/serving/admission.js";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as choice from "../../src/serving/choice.js";
 import type * as notices from "../../src/serving/notices.js";
 import type * as progress from "../../src/serving/progress.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as fixtures from "./fixtures.js";
 
 const { expect } = chai;
@@ -33,7 +33,7 @@
 function open(...list: readonly catalog.Endpoint[]) {
   const config: catalog.Step = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
-  const made = dispatching.open(catalog.steps(catalog.EMPTY, [config, ...entries]).at);
+  const made = dispatcherFixture.create(catalog.steps(catalog.EMPTY, [config, ...entries]).at);
   cleanups.push(made.close);
   return made;
 }
@@ -49,15 +49,21 @@
 /** Serves one request and returns how it ended. */
 async function serve(made: ReturnType<typeof open>): Promise<End> {
   const id = `r${count++}`;
-  const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
+  const meta: callerRequest.Meta = {
+    id,
+    waitMs: 1000,
+    promptTokens: 0,
+    answerTokens: 0,
+    parts: [],
+  };
   const sentAt = performance.now();
   let end: End | undefined;
   const finish = (status: number, retryAfterMs?: number): void => {
     end = { status, retryAfterMs, tookMs: performance.now() - sentAt };
   };
-  const outlet: progress.Outlet = {
-    ...dispatching.recorded().outlet,
-    answer: (status) => {
+  const outlet: progress.CallerResponse = {
+    ...dispatcherFixture.recorded().outlet,
+    sendWhole: (status) => {
       finish(status);
     },
     refuse: (status, _why, retryAfterMs) => {
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -2,10 +2,10 @@
 import * as chai from "chai";
 import * as wire from "../../platform/wire.js";
 import * as clock from "../../src/host/clock.js";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as engines from "./engines.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as fixtures from "./fixtures.js";
 import * as waitingStream from "./waiting-stream.js";
 
@@ -39,7 +39,7 @@
   const config: catalog.Step = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
   const at = catalog.steps(catalog.EMPTY, [config, ...entries]).at;
-  const made = dispatching.open(at, undefined, clk);
+  const made = dispatcherFixture.create(at, undefined, clk);
   cleanups.push(made.close);
   return made;
 }
@@ -54,7 +54,13 @@
 
 async function serve(made: ReturnType<typeof open>, clk: clock.Clock = clock.system): Promise<End> {
   const id = `r${count++}`;
-  const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
+  const meta: callerRequest.Meta = {
+    id,
+    waitMs: 1000,
+    promptTokens: 0,
+    answerTokens: 0,
+    parts: [],
+  };
   const sentAt = performance.now();
   let end: End = { status: 0, retryAfterMs: undefined, tookMs: 0 };
   const finish = (status: number, retryAfterMs?: number): void => {
@@ -68,8 +74,8 @@
     dueAt: now + 1000,
   });
   await made.dispatcher.serve(a, {
-    ...dispatching.recorded().outlet,
-    answer: (status) => {
+    ...dispatcherFixture.recorded().outlet,
+    sendWhole: (status) => {
       finish(status);
     },
     refuse: (status, _why, retryAfterMs) => {
@@ -81,7 +87,7 @@
 
 describe("requests to a worker that asks for a pause", () => {
   afterEach(() => {
-    waitingStream.endAll();
+    waitingStream.closeAll();
     engines.endAll();
     for (const cleanup of cleanups.splice(0)) cleanup();
   });
@@ -163,13 +169,13 @@
     });
     await engines.until(() => waits.daemon.heard.includes("over"));
     expect(performance.now() - began).below(100);
-    expect(await waits.over()).include({ runs: 0 });
+    expect(await waits.ended()).include({ runs: 0 });
   });
 });
 
 describe("the time to come back", () => {
   it("is rounded up, so that no caller retries too soon", () => {
-    expect(wire.PROTOCOL.comeBack(1234.5)).deep.equal({ "retry-after": "1.24" });
-    expect(wire.PROTOCOL.comeBack(800)).deep.equal({ "retry-after": "0.80" });
+    expect(wire.PROTOCOL.retryAfterHeaders(1234.5)).deep.equal({ "retry-after": "1.24" });
+    expect(wire.PROTOCOL.retryAfterHeaders(800)).deep.equal({ "retry-after": "0.80" });
   });
 });
--- a/test/serving/kept-run.test.ts
+++ b/test/serving/presumed-gone.test.ts
@@ -1,19 +1,22 @@
 import * as chai from "chai";
 import * as clock from "../../src/host/clock.js";
 import type * as catalog from "../../src/serving/catalog.js";
-import type * as retries from "../../src/serving/retries.js";
-import * as dispatching from "./dispatching.js";
+import type * as retryBudget from "../../src/serving/retry-budget.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as engines from "./engines.js";
 import * as fixtures from "./fixtures.js";
 import * as telling from "./telling.js";
 
 const { expect } = chai;
 
-const NO_RETRIES: retries.Options = { ratio: 0, slack: 0, windowMs: 10_000 };
-const SOME_RETRIES: retries.Options = { ratio: 16, slack: 0, windowMs: 10_000 };
+const NO_RETRIES: retryBudget.Options = { ratio: 0, slack: 0, windowMs: 10_000 };
+const SOME_RETRIES: retryBudget.Options = { ratio: 16, slack: 0, windowMs: 10_000 };
 
 /** What the caller of a stream receives if the engine is wrongly presumed gone after the first event. */
-async function callerEvents(budget: retries.Options, attempts: number): Promise<readonly string[]> {
+async function callerEvents(
+  budget: retryBudget.Options,
+  attempts: number,
+): Promise<readonly string[]> {
   let finishStream = (): void => undefined;
   const worker = await fixtures.worker((_req, res) => {
     res.writeHead(200, fixtures.good());
@@ -23,14 +26,17 @@
   const daemon = await telling.open(telling.state("i1"), telling.holdings("m/a"));
   const { at, service } = engines.known([fixtures.endpoint("i1", worker.address)]);
   const args = [() => daemon.address, clock.system, fixtures.WIRE] as const;
-  const setup = dispatching.open(at, ...args, () => ({ kind: "open" }), budget);
+  const setup = dispatcherFixture.create(at, ...args, () => ({ kind: "open" }), budget);
   try {
     setup.known.refresh();
     await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
-    const { outlet, seen } = dispatching.recorded();
+    const { outlet, seen } = dispatcherFixture.recorded();
     const kind = { kind: "stream", resumable: true, timeoutMs: 2000, attempts } as const;
     const route: catalog.Route = { ...fixtures.ROUTE, ...kind };
-    const served = setup.dispatcher.serve(dispatching.streamed(service, route, 2000), outlet);
+    const served = setup.dispatcher.serve(
+      dispatcherFixture.streamRequest(service, route, 2000),
+      outlet,
+    );
     await engines.until(() => daemon.heard.includes("ask"));
     daemon.tell({ kind: "grant", seat: 0, instance: "i1", version: 1 });
     await engines.until(() => seen.length > 0);
--- a/test/serving/quarantine.test.ts
+++ b/test/serving/quarantine.test.ts
@@ -5,7 +5,7 @@
 import * as identity from "../../src/serving/identity.js";
 import * as quarantine from "../../src/serving/quarantine.js";
 import * as suspicion from "../../src/serving/suspicion.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as fixtures from "./fixtures.js";
 
 const { expect } = chai;
@@ -40,7 +40,7 @@
     config: fixtures.CONFIG,
     endpoints: new Map(list.map((e) => [e.id, e])),
   };
-  const open = dispatching.open(() => at);
+  const open = dispatcherFixture.create(() => at);
   cleanups.push(open.close, ...made.map((w) => w.close));
   return {
     suspects: open.suspects,
@@ -54,7 +54,7 @@
      * retry.
      */
     ask: async (over: Parameters<typeof fixtures.request>[0] = {}) => {
-      const { outlet, seen } = dispatching.recorded();
+      const { outlet, seen } = dispatcherFixture.recorded();
       let retryAfterMs: number | undefined;
       const refuse: typeof outlet.refuse = (status, why, ms) => {
         retryAfterMs = ms;
--- a/test/serving/retry-budget.test.ts
+++ b/test/serving/retry-budget.test.ts
@@ -1,11 +1,11 @@
 import * as chai from "chai";
 import * as fc from "fast-check";
-import type * as retries from "../../src/serving/retries.js";
-import * as retrying from "./retrying.js";
+import type * as retryBudget from "../../src/serving/retry-budget.js";
+import * as retrySimulation from "./retry-simulation.js";
 
 const { expect } = chai;
 
-const OPTS: retries.Options = { ratio: 0.2, slack: 52, windowMs: 10_000 };
+const OPTS: retryBudget.Options = { ratio: 0.2, slack: 52, windowMs: 10_000 };
 /** Age in ms from which a process knows the number of hosts. */
 const HOST_COUNT_KNOWN_MS = 200;
 
@@ -18,16 +18,16 @@
 
 type Fleet = (typeof FLEETS)[number];
 
-function plan(f: Fleet, overrides: Partial<retrying.Plan>): retrying.Plan {
+function plan(f: Fleet, overrides: Partial<retrySimulation.Plan>): retrySimulation.Plan {
   return {
     ...f,
     opts: OPTS,
     ms: 34_000,
     bursts: [],
-    wanted: [[6000, 34_000]],
+    retriesWanted: [[6000, 34_000]],
     events: [],
-    told: (alive, ageMs) => (ageMs < HOST_COUNT_KNOWN_MS ? undefined : alive),
-    arrivesInMs: 0,
+    reportedHosts: (alive, ageMs) => (ageMs < HOST_COUNT_KNOWN_MS ? undefined : alive),
+    maxArrivalMs: 0,
     seed: 1,
     ...overrides,
   };
@@ -38,7 +38,7 @@
 }
 
 /** All hosts are killed at once, several times. */
-function killedTogether(f: Fleet): readonly retrying.Event[] {
+function killedTogether(f: Fleet): readonly retrySimulation.HostEvent[] {
   const times = [8000, 9500, 11_000, 12_500, 14_000, 15_500];
   return times.flatMap((at) =>
     allHosts(f).map((host) => ({ kind: "kill", at, host, downMs: 600 }) as const),
@@ -46,7 +46,7 @@
 }
 
 /** Hosts are stopped one after the other; each process keeps serving beside its successor. */
-function stoppedInTurn(f: Fleet): readonly retrying.Event[] {
+function stoppedInTurn(f: Fleet): readonly retrySimulation.HostEvent[] {
   return allHosts(f).map(
     (host) =>
       ({ kind: "stop", at: 8000 + (host * 10_000) / f.hosts, host, graceMs: 8000 }) as const,
@@ -54,14 +54,14 @@
 }
 
 /** Half of the hosts disappear for good, one after the other. */
-function halfDisappearInTurn(f: Fleet): readonly retrying.Event[] {
+function halfDisappearInTurn(f: Fleet): readonly retrySimulation.HostEvent[] {
   return allHosts(f)
     .slice(f.hosts / 2)
     .map((host, i) => ({ kind: "gone", at: 8000 + (i * 10_000) / f.hosts, host }) as const);
 }
 
 /** Three quarters of the hosts disappear at once, and their requests move to the others. */
-function mostDisappear(f: Fleet): readonly retrying.Event[] {
+function mostDisappear(f: Fleet): readonly retrySimulation.HostEvent[] {
   const stay = Math.ceil(f.hosts / 4);
   const gone = allHosts(f).slice(stay);
   return [
@@ -71,12 +71,12 @@
 }
 
 /** All hosts are stopped at once; each process keeps serving beside its successor. */
-function stoppedTogether(f: Fleet): readonly retrying.Event[] {
+function stoppedTogether(f: Fleet): readonly retrySimulation.HostEvent[] {
   return allHosts(f).map((host) => ({ kind: "stop", at: 20_000, host, graceMs: 8000 }) as const);
 }
 
 /** All requests move from one half of the hosts to the other. */
-function movedToOtherHalf(f: Fleet): readonly retrying.Event[] {
+function movedToOtherHalf(f: Fleet): readonly retrySimulation.HostEvent[] {
   const half = f.hosts / 2;
   return [
     { kind: "move", at: 0, to: allHosts(f).slice(0, half) },
@@ -85,41 +85,44 @@
 }
 
 /** A quarter of the hosts are stalled, one after the other. */
-function frozenInTurn(f: Fleet): readonly retrying.Event[] {
+function frozenInTurn(f: Fleet): readonly retrySimulation.HostEvent[] {
   return allHosts(f)
     .slice(0, Math.ceil(f.hosts / 4))
     .map((host, i) => ({ kind: "freeze", at: 8000 + i * 100, host, ms: 4000 }) as const);
 }
 
-const CASES: Readonly<Record<string, (f: Fleet) => Partial<retrying.Plan>>> = {
+const CASES: Readonly<Record<string, (f: Fleet) => Partial<retrySimulation.Plan>>> = {
   "without disturbances": () => ({}),
-  "where none was wanted for long": () => ({ wanted: [[30_000, 34_000]] }),
+  "where none was wanted for long": () => ({ retriesWanted: [[30_000, 34_000]] }),
   "while all hosts are killed again and again": (f) => ({ events: killedTogether(f) }),
   "while hosts are stopped in turn and keep serving": (f) => ({ events: stoppedInTurn(f) }),
   "while all hosts are stopped and serve on": (f) => ({
     events: stoppedTogether(f),
     ms: 40_000,
-    wanted: [[27_500, 40_000]],
+    retriesWanted: [[27_500, 40_000]],
   }),
   "while hosts disappear for good": (f) => ({ events: halfDisappearInTurn(f) }),
-  "while most hosts go at once": (f) => ({ events: mostDisappear(f), wanted: [[20_000, 34_000]] }),
+  "while most hosts go at once": (f) => ({
+    events: mostDisappear(f),
+    retriesWanted: [[20_000, 34_000]],
+  }),
   "while requests move from some hosts to others": (f) => ({
     events: movedToOtherHalf(f),
-    wanted: [
+    retriesWanted: [
       [9900, 10_000],
       [19_900, 20_000],
     ],
   }),
   "while all hosts stand still at once": (f) => ({
     events: allHosts(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
-    wanted: [[20_000, 34_000]],
+    retriesWanted: [[20_000, 34_000]],
   }),
   "long after all hosts stood still": (f) => ({
     events: allHosts(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
     ms: 40_000,
-    wanted: [[29_000, 40_000]],
+    retriesWanted: [[29_000, 40_000]],
   }),
-  "while retries reach their endpoints late": () => ({ arrivesInMs: 700 }),
+  "while retries reach their endpoints late": () => ({ maxArrivalMs: 700 }),
   "while requests come in bursts": () => ({
     bursts: [
       [0, 17_500, 0.1],
@@ -127,13 +130,13 @@
       [19_900, 27_500, 0.1],
       [27_500, 30_000, 5],
     ],
-    wanted: [[19_900, 34_000]],
+    retriesWanted: [[19_900, 34_000]],
   }),
   "while hosts are stalled in turn": (f) => ({ events: frozenInTurn(f) }),
-  "where the number of hosts is never known": () => ({ told: () => undefined }),
+  "where the number of hosts is never known": () => ({ reportedHosts: () => undefined }),
   "where processes that start are told of few hosts": (f) => ({
     events: killedTogether(f),
-    told: (alive, ageMs) => Math.min(alive, 1 + Math.floor(ageMs / 50)),
+    reportedHosts: (alive, ageMs) => Math.min(alive, 1 + Math.floor(ageMs / 50)),
   }),
 };
 
@@ -142,7 +145,7 @@
     for (const f of FLEETS) {
       it(`${title}: ${f.hosts} hosts`, () => {
         const p = plan(f, overrides(f));
-        expect(retrying.excess(retrying.play(p), p.opts)).most(0);
+        expect(retrySimulation.excess(retrySimulation.simulate(p), p.opts)).most(0);
       }).timeout(30_000);
     }
   }
@@ -151,7 +154,7 @@
     const [few, more] = FLEETS;
     const at = fc.integer({ min: 0, max: 40_000 });
     const ms = fc.integer({ min: 100, max: 9000 });
-    const event = (host: fc.Arbitrary<number>): fc.Arbitrary<retrying.Event> =>
+    const event = (host: fc.Arbitrary<number>): fc.Arbitrary<retrySimulation.HostEvent> =>
       fc.oneof(
         fc.record({ kind: fc.constant("kill" as const), at, host, downMs: ms }),
         fc.record({ kind: fc.constant("stop" as const), at, host, graceMs: ms }),
@@ -181,8 +184,8 @@
     );
     fc.assert(
       fc.property(cases, ({ f, ...overrides }) => {
-        const p = plan(f, { ...overrides, ms: 45_000, arrivesInMs: 700, stepMs: 50 });
-        expect(retrying.excess(retrying.play(p), p.opts)).most(0);
+        const p = plan(f, { ...overrides, ms: 45_000, maxArrivalMs: 700, stepMs: 50 });
+        expect(retrySimulation.excess(retrySimulation.simulate(p), p.opts)).most(0);
       }),
       { numRuns: 100 },
     );
--- a/test/serving/retrying.ts
+++ b/test/serving/retry-simulation.ts
@@ -9,7 +9,7 @@
 import * as endpointRegistry from "../../src/serving/endpoint-registry.js";
 import * as peak from "../../src/serving/peak.js";
 import * as rule from "../../bench/platform/retry-rule.js";
-import * as retries from "../../src/serving/retries.js";
+import * as retryBudget from "../../src/serving/retry-budget.js";
 
 /** Clock of one simulated process, which reads `now`; its timers fire only when the process runs. */
 export class ProcessClock {
@@ -38,7 +38,7 @@
 }
 
 /** Something that happens to a host at the time `at`; all times in ms. */
-export type Event =
+export type HostEvent =
   /** The host's process is killed; another starts `downMs` later. */
   | { readonly kind: "kill"; readonly at: number; readonly host: number; readonly downMs: number }
   /** The host's process is told to stop, and keeps serving for `graceMs` beside its successor. */
@@ -52,7 +52,7 @@
 
 /** Input of a simulation. */
 export interface Plan {
-  readonly opts: retries.Options;
+  readonly opts: retryBudget.Options;
   readonly hosts: number;
   readonly ms: number;
   /** Requests per second at all hosts together. */
@@ -60,13 +60,13 @@
   /** Intervals in which the request rate is multiplied by `times`. */
   readonly bursts: readonly (readonly [from: number, receivers: number, times: number])[];
   /** Intervals in which processes make as many retries as their budget allows. */
-  readonly wanted: readonly (readonly [from: number, receivers: number])[];
-  readonly events: readonly Event[];
+  readonly retriesWanted: readonly (readonly [from: number, receivers: number])[];
+  readonly events: readonly HostEvent[];
   /** Number of hosts that a process of a given age is told of; undefined if it is told none. */
-  readonly told: (alive: number, ageMs: number) => number | undefined;
+  readonly reportedHosts: (alive: number, ageMs: number) => number | undefined;
   readonly stepMs: number;
   /** Most milliseconds that a retry takes to reach its endpoint. */
-  readonly arrivesInMs: number;
+  readonly maxArrivalMs: number;
   readonly seed: number;
 }
 
@@ -78,7 +78,7 @@
 
 interface Process {
   readonly clk: ProcessClock;
-  readonly budget: retries.Budget;
+  readonly budget: retryBudget.Budget;
   readonly startedAt: number;
   readonly endsAt: number;
   /** Highest recent number of hosts that the process was told of. */
@@ -97,14 +97,14 @@
 const SERVICE = "llm";
 
 /** Runs a simulation. */
-export function play(plan: Plan): Trace {
+export function simulate(plan: Plan): Trace {
   let now = 0;
   const requestsAt: number[] = [];
   const retriesAt: number[] = [];
   const rng = generators.xoroshiro128plus(plan.seed);
   const startProcess = (): Process => {
     const clk = new ProcessClock(() => now);
-    const budget = new retries.Budget(plan.opts, clk);
+    const budget = new retryBudget.Budget(plan.opts, clk);
     return { clk, budget, startedAt: now, endsAt: Infinity, counts: undefined };
   };
   const hosts: Host[] = Array.from({ length: plan.hosts }, () => ({
@@ -130,7 +130,7 @@
       if (h) h.waiting++;
     }
     const alive = hosts.filter((h) => h.processes.length > 0).length;
-    const isWanted = plan.wanted.some(([from, until]) => now >= from && now < until);
+    const isWanted = plan.retriesWanted.some(([from, until]) => now >= from && now < until);
     for (const h of hosts) if (h.frozenUntil <= now) serve(h, alive, isWanted);
   }
   retriesAt.sort((a, b) => a - b);
@@ -142,19 +142,20 @@
   }
 
   function arrivesInMs(): number {
-    return plan.arrivesInMs === 0 ? 0 : uniform.uniformInt(rng, 0, plan.arrivesInMs);
+    return plan.maxArrivalMs === 0 ? 0 : uniform.uniformInt(rng, 0, plan.maxArrivalMs);
   }
 
   function serve(h: Host, alive: number, isWanted: boolean): void {
     const newest = h.processes.at(-1);
     if (!newest) return;
-    for (; h.waiting > 0; h.waiting--) newest.budget.request(SERVICE);
+    for (; h.waiting > 0; h.waiting--) newest.budget.recordRequest(SERVICE);
     for (const p of h.processes) {
-      const told = plan.told(alive, now - p.startedAt);
+      const told = plan.reportedHosts(alive, now - p.startedAt);
       if (told !== undefined)
-        p.counts = peak.read(p.counts, told, now, endpointRegistry.HOST_COUNT_WINDOW_MS);
+        p.counts = peak.addReading(p.counts, told, now, endpointRegistry.HOST_COUNT_WINDOW_MS);
       const most = p.counts && peak.highest(p.counts);
-      while (isWanted && p.budget.take(SERVICE, most).from) retriesAt.push(now + arrivesInMs());
+      while (isWanted && p.budget.takeRetry(SERVICE, most).from)
+        retriesAt.push(now + arrivesInMs());
       // A process reads the requests that waited for it before its timers fire.
       p.clk.run();
     }
@@ -163,7 +164,7 @@
 
 function applyEvent(
   h: Host,
-  e: Exclude<Event, { kind: "move" }>,
+  e: Exclude<HostEvent, { kind: "move" }>,
   now: number,
   startProcess: () => Process,
 ): void {
@@ -177,7 +178,7 @@
       h.startsAt = Infinity;
       break;
     case "stop":
-      for (const p of h.processes) p.budget.leave();
+      for (const p of h.processes) p.budget.startDraining();
       h.processes = [
         ...h.processes.map((p) => ({ ...p, endsAt: now + e.graceMs })),
         startProcess(),
@@ -200,7 +201,7 @@
 }
 
 /** Retries by which the worst window exceeds the budget; 0 or less if the budget is kept. */
-export function excess(trace: Trace, opts: retries.Options): number {
+export function excess(trace: Trace, opts: retryBudget.Options): number {
   const worst = rule.worst(trace.requestsAt, trace.retriesAt, opts);
   return worst ? worst.retries - worst.allowed : -Infinity;
 }
--- a/test/serving/revoked.test.ts
+++ b/test/serving/revoked.test.ts
@@ -15,11 +15,11 @@
   });
   verdict = later;
   waits.daemon.tell({ kind: "grant", seat: 0, instance: "i1" });
-  return waits.over();
+  return waits.ended();
 }
 
 describe("a request that waits for a seat", () => {
-  afterEach(waitingStream.endAll);
+  afterEach(waitingStream.closeAll);
 
   it("is not sent once its key is taken away", async () => {
     const { ran, runs, seen } = await waiting({ kind: "unknown", why: "the key is unknown" });
--- a/test/serving/seat-waiting.test.ts
+++ b/test/serving/seat-waiting.test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as catalog from "../../src/serving/catalog.js";
 import type * as link from "../../src/serving/link.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as engines from "./engines.js";
 import * as fixtures from "./fixtures.js";
 import * as links from "./links.js";
@@ -29,11 +29,14 @@
     // Requests of another host occupy the only slot of each engine.
     const others = sites.map((s) => s.link.ask(engines.wish("other")));
     await Promise.all(others.map((o) => o.answer));
-    const made = dispatching.open(at, (e) => sites[list.indexOf(e)]?.address ?? "");
+    const made = dispatcherFixture.create(at, (e) => sites[list.indexOf(e)]?.address ?? "");
     made.known.refresh();
     await engines.until(() => made.known.views(service).every((v) => v.state !== undefined));
-    const { outlet, seen } = dispatching.recorded();
-    const served = made.dispatcher.serve(dispatching.streamed(service, ROUTE, 4000), outlet);
+    const { outlet, seen } = dispatcherFixture.recorded();
+    const served = made.dispatcher.serve(
+      dispatcherFixture.streamRequest(service, ROUTE, 4000),
+      outlet,
+    );
     await engines.until(() => sites.some((s) => s.keeper.count() === 2));
     // The slot of the engine where the request does not wait becomes free.
     const freeIndex = sites.findIndex((s) => s.keeper.count() === 1);
@@ -63,7 +66,7 @@
         ask(...args);
       };
     }
-    const made = dispatching.open(at);
+    const made = dispatcherFixture.create(at);
     made.known.refresh();
     await engines.until(() => made.known.views(service).every((v) => v.state !== undefined));
     const refused: (number | undefined)[] = [];
@@ -82,12 +85,12 @@
         },
       }),
       {
-        gone: new AbortController().signal,
-        begin: () => undefined,
+        disconnected: new AbortController().signal,
+        writeHead: () => undefined,
         write: () => undefined,
         end: () => undefined,
-        breakOff: () => undefined,
-        answer: () => undefined,
+        abort: () => undefined,
+        sendWhole: () => undefined,
         refuse: (status) => refused.push(status),
       },
     );
--- a/test/serving/suspended.test.ts
+++ b/test/serving/suspended.test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as clock from "../../src/host/clock.js";
 import * as catalog from "../../src/serving/catalog.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as engines from "./engines.js";
 import * as fixtures from "./fixtures.js";
 import * as telling from "./telling.js";
@@ -51,13 +51,16 @@
     const endpoint = fixtures.endpoint("i1", worker.address);
     const { at, service } = engines.known([endpoint]);
     const host = suspendable();
-    const setup = dispatching.open(at, () => daemon.address, host.clk);
+    const setup = dispatcherFixture.create(at, () => daemon.address, host.clk);
     cleanups.push(setup.close, worker.close, daemon.close);
     setup.known.refresh();
     await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
     const route: catalog.Route = { ...fixtures.ROUTE, kind: "stream", timeoutMs: WAIT_MS };
-    const { outlet } = dispatching.recorded();
-    const served = setup.dispatcher.serve(dispatching.streamed(service, route, WAIT_MS), outlet);
+    const { outlet } = dispatcherFixture.recorded();
+    const served = setup.dispatcher.serve(
+      dispatcherFixture.streamRequest(service, route, WAIT_MS),
+      outlet,
+    );
     await engines.until(() => daemon.heard.includes("ask"));
     host.suspend(SUSPENDED_MS);
     daemon.tell({ kind: "grant", seat: 0, instance: "i1" });
--- a/test/serving/upstream.test.ts
+++ b/test/serving/upstream.test.ts
@@ -22,7 +22,7 @@
       new AbortController().signal,
     );
     if (sent.kind !== "answer") return sent.kind;
-    return (await exchange.whole(sent.body, 1000)).toString();
+    return (await exchange.readAll(sent.body, 1000)).toString();
   } catch {
     return "broke off";
   } finally {
--- a/test/serving/waiting-stream.ts
+++ b/test/serving/waiting-stream.ts
@@ -3,10 +3,10 @@
  * @module
  */
 import * as clock from "../../src/host/clock.js";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import type * as authentication from "../../src/serving/authentication.js";
 import * as catalog from "../../src/serving/catalog.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as engines from "./engines.js";
 import * as fixtures from "./fixtures.js";
 import * as telling from "./telling.js";
@@ -18,7 +18,7 @@
 const cleanups: (() => void)[] = [];
 
 /** Closes everything; to be called after each test. */
-export function endAll(): void {
+export function closeAll(): void {
   for (const cleanup of cleanups.splice(0)) cleanup();
 }
 
@@ -26,7 +26,7 @@
 export interface Setup {
   /** Fields of the request's route, which is a streaming one. */
   readonly route: Partial<catalog.Route> & Pick<catalog.Route, "timeoutMs">;
-  readonly authenticate?: (req: ask.Ask) => authentication.Verdict;
+  readonly authenticate?: (req: callerRequest.CallerRequest) => authentication.Verdict;
 }
 
 /** Starts the request; resolves when it has asked for a seat. */
@@ -43,7 +43,7 @@
   const endpoint = fixtures.endpoint("i1", worker.address);
   const { at: initial, service } = engines.known([endpoint]);
   let current = initial;
-  const setup = dispatching.open(
+  const setup = dispatcherFixture.create(
     () => current,
     () => daemon.address,
     clock.system,
@@ -53,9 +53,9 @@
   cleanups.push(setup.close);
   setup.known.refresh();
   await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
-  const { outlet, seen } = dispatching.recorded();
+  const { outlet, seen } = dispatcherFixture.recorded();
   const streamed: catalog.Route = { ...fixtures.ROUTE, kind: "stream", ...route };
-  const req = dispatching.streamed(service, streamed, route.timeoutMs);
+  const req = dispatcherFixture.streamRequest(service, streamed, route.timeoutMs);
   const served = setup.dispatcher.serve(req, outlet);
   await engines.until(() => daemon.heard.includes("ask"));
   return {
@@ -66,6 +66,6 @@
       current = catalog.step(current, step);
     },
     /** Resolves when the request has ended: whether it ran, how often its worker ran it, and what its caller received. */
-    over: async () => ({ ran: await served, runs, seen }),
+    ended: async () => ({ ran: await served, runs, seen }),
   };
 }
--- a/test/serving/withheld.test.ts
+++ b/test/serving/withheld.test.ts
@@ -1,9 +1,9 @@
 import * as timers from "node:timers/promises";
 import * as chai from "chai";
-import type * as ask from "../../src/serving/ask.js";
+import type * as callerRequest from "../../src/serving/caller-request.js";
 import type * as authentication from "../../src/serving/authentication.js";
 import * as catalog from "../../src/serving/catalog.js";
-import * as dispatching from "./dispatching.js";
+import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as fixtures from "./fixtures.js";
 
 const { expect } = chai;
@@ -44,7 +44,7 @@
     { kind: "endpoint", endpoint: first.endpoint },
   ]).at;
   let verdict: authentication.Verdict = { kind: "open" };
-  const setup = dispatching.open(
+  const setup = dispatcherFixture.create(
     () => current,
     undefined,
     undefined,
@@ -52,9 +52,18 @@
     () => verdict,
   );
   cleanups.push(setup.close);
-  const serve = (id: string, overrides: Partial<ask.Ask> = {}): Promise<readonly string[]> => {
-    const { outlet, seen } = dispatching.recorded();
-    const meta: ask.Meta = { id, waitMs: 1000, promptTokens: 0, answerTokens: 0, parts: [] };
+  const serve = (
+    id: string,
+    overrides: Partial<callerRequest.CallerRequest> = {},
+  ): Promise<readonly string[]> => {
+    const { outlet, seen } = dispatcherFixture.recorded();
+    const meta: callerRequest.Meta = {
+      id,
+      waitMs: 1000,
+      promptTokens: 0,
+      answerTokens: 0,
+      parts: [],
+    };
     const headers = { "test-id": id };
     const req = fixtures.request({ service: SERVICE, meta, headers, ...overrides });
     return setup.dispatcher.serve(req, outlet).then(() => seen);
@@ -65,7 +74,7 @@
     first,
     serve,
     /** Serves a request; resolves when it waits for a connection. */
-    wait: async (id: string, overrides: Partial<ask.Ask> = {}) => {
+    wait: async (id: string, overrides: Partial<callerRequest.CallerRequest> = {}) => {
       const end = serve(id, overrides);
       await timers.setTimeout(SETTLE_MS);
       return { end };
