--- a/bench/caps/fleet.ts
+++ b/bench/caps/fleet.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import * as record from "../../src/host/record.js";
-import * as allowance from "../../src/serving/allowance.js";
+import * as tokenBalance from "../../src/serving/token-balance.js";
 import * as caps from "../../src/serving/caps.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as limiter from "../../src/serving/limiter.js";
-import * as limiterPlace from "../../src/serving/limiter-place.js";
+import * as limiterOwner from "../../src/serving/limiter-owner.js";
 import type * as time from "../measure/time.js";
 import * as wire from "./wire.js";
 
@@ -18,9 +18,9 @@
 
 /** A way to keep a cap, as requests meet it at a host. */
 export interface Fleet {
-  readonly admit: (host: number, units: number) => Promise<limiter.Verdict> | limiter.Verdict;
+  readonly admit: (host: number, units: number) => Promise<limiter.Decision> | limiter.Decision;
   /** A new cap at all hosts. */
-  readonly change: (cap: allowance.Cap) => void;
+  readonly change: (cap: tokenBalance.Cap) => void;
   /** Cuts a host from all places, or ends that. */
   readonly cut: (host: number, on: boolean) => void;
   /** Kills the first place and starts it again `downMs` later. */
@@ -32,7 +32,7 @@
 export interface Options {
   readonly hosts: number;
   readonly places: number;
-  readonly cap: allowance.Cap;
+  readonly cap: tokenBalance.Cap;
   readonly overdraft: number;
 }
 
@@ -52,27 +52,28 @@
 /** Each host keeps a part of the cap by itself. */
 function shares(opts: Options, clk: time.Time, partOf: (host: number) => number): Fleet {
   let { cap } = opts;
-  const left = new Map<number, allowance.Allowance>();
+  const left = new Map<number, tokenBalance.Balance>();
   const nothing = (): void => undefined;
   return {
     admit: (host, units) => {
       const part = partOf(host);
-      const before = left.get(host) ?? allowance.begun(0, part * opts.overdraft);
-      const now = allowance.flow(before, cap, part, clk.steady());
+      const before = left.get(host) ?? tokenBalance.initial(0, part * opts.overdraft);
+      const now = tokenBalance.refill(before, cap, part, clk.steady());
       const wish = { wants: [units], patienceMs: 0 };
-      const got = allowance.draw(now, cap, part, wish, opts.overdraft);
+      const got = tokenBalance.draw(now, cap, part, wish, opts.overdraft);
       left.set(host, got.left);
       if (got.granted > 0) return { kind: "in", delayMs: 0 };
       return got.waitMs === undefined
-        ? { kind: "unsure", comeBackMs: 0 }
-        : { kind: "over", comeBackMs: got.waitMs };
+        ? { kind: "unsure", retryAfterMs: 0 }
+        : { kind: "over", retryAfterMs: got.waitMs };
     },
     change: (next) => {
       cap = next;
     },
     cut: nothing,
     kill: nothing,
-    restart: (host) => left.set(host, allowance.begun(clk.steady(), partOf(host) * opts.overdraft)),
+    restart: (host) =>
+      left.set(host, tokenBalance.initial(clk.steady(), partOf(host) * opts.overdraft)),
     messages: () => 0,
   };
 }
@@ -112,7 +113,7 @@
   };
 }
 
-/** The product's own way: {@link limiter.Limiter} at the hosts and {@link limiterPlace.LimiterPlace} at the places. */
+/** The product's own way: {@link limiter.Limiter} at the hosts and {@link limiterOwner.LimiterOwner} at the places. */
 class Places implements Fleet {
   private readonly places: wire.Place[];
   private readonly links: wire.Wire[][];
@@ -139,7 +140,7 @@
   }
 
   private place(): wire.Place {
-    return placeOf(new limiterPlace.LimiterPlace({ clock: this.clk, log: record.silent }));
+    return placeOf(new limiterOwner.LimiterOwner({ clock: this.clk, log: record.silent }));
   }
 
   private wire(h: number, p: number): wire.Wire {
@@ -150,7 +151,9 @@
       place: () => this.places[p],
       host: () => {
         const at = this.hosts[h];
-        return at && { greeting: (address) => at.greeting(address), hear: () => undefined };
+        return (
+          at && { greeting: (address) => at.attachMessagesFor(address), hear: () => undefined }
+        );
       },
       stands: () => this.told.add(h),
       sent: () => {
@@ -164,18 +167,18 @@
       clock: this.clk,
       log: record.silent,
       totals: () => caps.totals(this.catalog.config, this.opts.overdraft),
-      places: (_key, n) => (this.links[h] ?? []).slice(0, n),
-      hosts: () => (this.told.has(h) ? this.opts.hosts : undefined),
+      ownerCandidates: (_key, n) => (this.links[h] ?? []).slice(0, n),
+      hostCount: () => (this.told.has(h) ? this.opts.hosts : undefined),
     });
   }
 
-  admit(host: number, units: number): Promise<limiter.Verdict> | limiter.Verdict {
+  admit(host: number, units: number): Promise<limiter.Decision> | limiter.Decision {
     const [total] = caps.totals(this.catalog.config, this.opts.overdraft);
     const at = this.hosts[host];
     return total && at ? at.admit(total, units, 0) : { kind: "in", delayMs: 0 };
   }
 
-  change(cap: allowance.Cap): void {
+  change(cap: tokenBalance.Cap): void {
     this.catalog = withCap(cap, (this.catalog.config?.version ?? 0) + 1);
     for (const h of this.hosts) h.refresh();
   }
@@ -208,7 +211,7 @@
 }
 
 /** An endpoint daemon that keeps totals, as a connection meets it. */
-export function placeOf(at: limiterPlace.LimiterPlace): wire.Place {
+export function placeOf(at: limiterOwner.LimiterOwner): wire.Place {
   return {
     join: (c) => {
       at.join(c);
@@ -226,7 +229,7 @@
 }
 
 /** A catalog whose only team has a cap in tokens. */
-function withCap(cap: allowance.Cap, version: number): catalog.Catalog {
+function withCap(cap: tokenBalance.Cap, version: number): catalog.Catalog {
   const team: catalog.Team = { name: TEAM, cap: { ...cap, unit: "tokens", defaultTokens: 1 } };
   return {
     ...catalog.EMPTY,
--- a/bench/caps/play.ts
+++ b/bench/caps/play.ts
@@ -4,7 +4,7 @@
  */
 import * as uniform from "pure-rand/distribution/uniformFloat64";
 import * as generators from "pure-rand/generator/xoroshiro128plus";
-import type * as allowance from "../../src/serving/allowance.js";
+import type * as tokenBalance from "../../src/serving/token-balance.js";
 import * as time from "../measure/time.js";
 import * as fleet from "./fleet.js";
 
@@ -130,7 +130,7 @@
   s: Setup,
   made: fleet.Fleet,
   clk: time.Time,
-  cap: allowance.Cap,
+  cap: tokenBalance.Cap,
   draw: () => number,
 ): void {
   const third = Math.floor(s.hosts / 3);
@@ -186,12 +186,12 @@
 }
 
 /** What a cap gives in a window that begins with its burst whole. */
-function inWindow(cap: allowance.Cap): number {
+function inWindow(cap: tokenBalance.Cap): number {
   return (cap.perS * WINDOW_MS) / MS_PER_S + cap.burst;
 }
 
 /** What the users' rule allows in a window. */
-function allowed(cap: allowance.Cap): number {
+function allowed(cap: tokenBalance.Cap): number {
   return inWindow(cap) * (1 + OVERAGE) + SLACK;
 }
 
--- a/bench/caps/wire.ts
+++ b/bench/caps/wire.ts
@@ -38,7 +38,7 @@
   readonly sent: () => void;
 }
 
-export class Wire implements limiter.Place {
+export class Wire implements limiter.Owner {
   readonly address: string;
   isHeard = false;
   private client: announcer.Client | undefined;
@@ -112,7 +112,7 @@
     });
   };
 
-  draw: limiter.Place["draw"] = (key, wish) => {
+  draw: limiter.Owner["draw"] = (key, wish) => {
     const n = this.next++;
     return new Promise((resolve) => {
       const settle = (a: seat.FromEndpoint | undefined): void => {
--- a/bench/limits/fleet.ts
+++ b/bench/limits/fleet.ts
@@ -6,7 +6,7 @@
 import * as record from "../../src/host/record.js";
 import type * as catalog from "../../src/serving/catalog.js";
 import * as limiter from "../../src/serving/limiter.js";
-import * as limiterPlace from "../../src/serving/limiter-place.js";
+import * as limiterOwner from "../../src/serving/limiter-owner.js";
 import * as noticeRelay from "../../src/serving/notice-relay.js";
 import * as notices from "../../src/serving/notices.js";
 import * as workerNotices from "../../src/serving/worker-notices.js";
@@ -65,14 +65,14 @@
       clock: clk,
       log: record.silent,
       totals: () => this.notices.totals(),
-      places: (_key, n) => this.wires.slice(0, n),
-      hosts: () => this.hosts,
+      ownerCandidates: (_key, n) => this.wires.slice(0, n),
+      hostCount: () => this.hosts,
     });
     this.notices = new workerNotices.WorkerNotices({
       clock: clk,
       log: record.silent,
       limiter: this.shared,
-      tell: (_e, m) => {
+      send: (_e, m) => {
         for (const w of this.wires) w.send(m);
       },
       random: fleet.random,
@@ -97,9 +97,12 @@
   }
 
   private readonly part: wire.Host = {
-    greeting: (address) => [...this.notices.retold(() => true), ...this.shared.greeting(address)],
+    greeting: (address) => [
+      ...this.notices.snapshot(() => true),
+      ...this.shared.attachMessagesFor(address),
+    ],
     hear: (m, address) => {
-      if (m.kind === "notice") this.notices.learn(m, address);
+      if (m.kind === "notice") this.notices.merge(m, address);
     },
   };
 
@@ -158,7 +161,7 @@
 
   private place(): wire.Place {
     const kept = fleet.placeOf(
-      new limiterPlace.LimiterPlace({ clock: this.clk, log: record.silent }),
+      new limiterOwner.LimiterOwner({ clock: this.clk, log: record.silent }),
     );
     const told = new noticeRelay.NoticeRelay(this.clk, () => undefined);
     return {
@@ -171,7 +174,7 @@
         told.leave(c);
       },
       hear: (c, m) => {
-        if (m.kind === "notice") told.hear(c, m);
+        if (m.kind === "notice") told.receive(c, m);
         else kept.hear(c, m);
       },
     };
@@ -205,7 +208,7 @@
     }
     await clk.wait(permit.delayMs + random() * SEAT_MS);
     if (!permit.isGood() || at.hasEnded()) {
-      permit.giveBack();
+      permit.release();
       this.elsewhere++;
       return;
     }
@@ -224,9 +227,9 @@
     await clk.wait(random() * WORK_MS);
     if (at.hasEnded()) return;
     if (perS !== undefined) at.toldAt = Math.min(at.toldAt, clk.mono());
-    const limit = perS === undefined ? notices.UNSAID : { kind: "said" as const, value: perS };
-    const notice = { ...notices.NOTHING, limit };
-    at.notices.heard(WORKER, { request: "r", notice, sentAt, ran: true });
+    const limit = perS === undefined ? notices.ABSENT : { kind: "said" as const, value: perS };
+    const notice = { ...notices.EMPTY, limit };
+    at.notices.observe(WORKER, { request: "r", notice, sentAt, ran: true });
   }
 
   /** Kills a host's process and starts another. */
--- a/src/operator/quarantines.ts
+++ b/src/operator/quarantines.ts
@@ -52,5 +52,5 @@
  */
 export function mark(deps: Deps, identity: string): Promise<boolean> {
   const text = quarantine.encode({ workers: [], at: deps.clock.now() });
-  return deps.source.claim(quarantine.keyOf(checked(identity)), suspicion.LAPSE_MS, text);
+  return deps.source.claim(quarantine.keyOf(checked(identity)), suspicion.EXPIRY_MS, text);
 }
--- a/src/serving/named-limits.ts
+++ b/src/serving/announced-limit.ts
@@ -19,7 +19,7 @@
 
 /** What one answer of a worker says about its limit. */
 export interface Answer {
-  readonly said: notices.Said<number>;
+  readonly said: notices.Announced<number>;
   /** Steady ms at which the request was sent and, in `at`, its answer arrived. */
   readonly sentAt: number;
   readonly at: number;
@@ -52,13 +52,13 @@
 }
 
 /** The state of a worker's limit as another host reports it. */
-export interface News {
+export interface Update {
   readonly perS?: number | undefined;
   readonly version: number;
 }
 
 /** The state after another host's report; the same object if the report changes nothing. */
-export function learn(known: Limit | undefined, update: News, now: number): Limit {
+export function merge(known: Limit | undefined, update: Update, now: number): Limit {
   const reported: Limit = { perS: update.perS, version: update.version, at: now };
   if (!known || update.version > known.version) return reported;
   if (update.version < known.version || update.perS === undefined) return known;
--- a/src/serving/availability.ts
+++ b/src/serving/availability.ts
@@ -5,7 +5,7 @@
  * in force. Pure.
  * @module
  */
-import * as limits from "./named-limits.js";
+import * as limits from "./announced-limit.js";
 import type * as notices from "./notices.js";
 
 /** The known state of one worker incarnation; times are steady ms. */
@@ -61,28 +61,28 @@
 }
 
 /** The state of a worker as another host reports it. */
-export interface News {
-  readonly limit?: limits.News | undefined;
+export interface Update {
+  readonly limit?: limits.Update | undefined;
   readonly leaving: boolean;
 }
 
 /** The state after another host's report; the same object if the report changes nothing. */
-export function learn(known: Availability, news: News, now: number): Availability {
-  const limit = news.limit ? limits.learn(known.limit, news.limit, now) : known.limit;
+export function merge(known: Availability, news: Update, now: number): Availability {
+  const limit = news.limit ? limits.merge(known.limit, news.limit, now) : known.limit;
   const leavingAt = known.leavingAt ?? (news.leaving ? now : undefined);
   if (limit === known.limit && leavingAt === known.leavingAt) return known;
   return { ...known, limit, leavingAt };
 }
 
 /** Whether the known state holds something that another host's report lacks. */
-export function isAhead(known: Availability, news: News): boolean {
+export function hasMoreThan(known: Availability, news: Update): boolean {
   const isNewer = (known.limit?.version ?? 0) > (news.limit?.version ?? 0);
   return isNewer || (known.leavingAt !== undefined && !news.leaving);
 }
 
 /** Whether a change must be sent to other hosts. */
-export function isNews(before: Availability, after: Availability): boolean {
-  return isAhead(after, { limit: before.limit, leaving: before.leavingAt !== undefined });
+export function shouldPropagate(before: Availability, after: Availability): boolean {
+  return hasMoreThan(after, { limit: before.limit, leaving: before.leavingAt !== undefined });
 }
 
 /**
@@ -97,7 +97,7 @@
 }
 
 /** The state after a request is sent to the worker. */
-export function sent(known: Availability, now: number): Availability {
+export function recordSend(known: Availability, now: number): Availability {
   const { pause } = known;
   return pause ? { ...known, pause: { ...pause, triedAt: now } } : known;
 }
--- a/src/serving/caps.ts
+++ b/src/serving/caps.ts
@@ -8,7 +8,7 @@
 import type * as limiter from "./limiter.js";
 import type * as messages from "./limiter-messages.js";
 
-const ADMITTED: limiter.Verdict = { kind: "in", delayMs: 0 };
+const ADMITTED: limiter.Decision = { kind: "in", delayMs: 0 };
 
 /** The units that a request counts against its team's cap. */
 export function unitsOf(cap: catalog.Cap, meta: callerRequest.Meta): number {
@@ -52,7 +52,7 @@
   constructor(private readonly deps: Deps) {}
 
   /** Decides on one more request of a team, which counts `units`. */
-  admit(team: catalog.Team, units: number): Promise<limiter.Verdict> | limiter.Verdict {
+  admit(team: catalog.Team, units: number): Promise<limiter.Decision> | limiter.Decision {
     const total = this.total(team);
     return total ? this.deps.limiter.admit(total, units, 0) : ADMITTED;
   }
--- a/src/serving/catalog.ts
+++ b/src/serving/catalog.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as selector from "../contract/selector.js";
-import type * as allowance from "./allowance.js";
+import type * as tokenBalance from "./token-balance.js";
 import * as incarnation from "./incarnation.js";
 
 /** Whether a request may be sent again. A `stream` is a series of events, and counts as `once` unless resumable. */
@@ -42,7 +42,7 @@
 }
 
 /** Rate limit of a team's requests, over all hosts together. */
-export interface Cap extends allowance.Cap {
+export interface Cap extends tokenBalance.Cap {
   /** What is counted: requests, or the tokens of requests. */
   readonly unit: "requests" | "tokens";
   /** Tokens charged for a request that does not state its token count. */
--- a/src/serving/autopsy.ts
+++ b/src/serving/crash-check.ts
@@ -20,7 +20,7 @@
 const REFUSED = "ECONNREFUSED";
 
 /** Checks workers for crashes and shares the results for a short time. */
-export class Autopsy {
+export class CrashCheck {
   private readonly results = new Map<string, Promise<boolean>>();
 
   constructor(private readonly clk: clock.Clock) {}
@@ -29,7 +29,7 @@
    * Whether nothing listens any more at an endpoint's address; concurrent callers share one
    * connection attempt.
    */
-  hasEnded(e: catalog.Endpoint): Promise<boolean> {
+  hasCrashed(e: catalog.Endpoint): Promise<boolean> {
     const known = this.results.get(e.id);
     if (known) return known;
     const result = refuses(e.address, this.clk);
--- a/src/serving/desk.ts
+++ b/src/serving/desk.ts
@@ -8,17 +8,17 @@
 import type * as record from "../host/record.js";
 import type * as announcer from "./announcer.js";
 import type * as keeper from "./keeper.js";
-import type * as limiterPlace from "./limiter-place.js";
+import type * as limiterOwner from "./limiter-owner.js";
 import type * as noticeRelay from "./notice-relay.js";
 import * as lines from "./lines.js";
-import type * as relay from "./relay.js";
+import type * as suspicionRelay from "./suspicion-relay.js";
 import * as seat from "./seat.js";
 
 export interface Deps {
   readonly log: record.Log;
   readonly keeper: keeper.Keeper;
-  readonly relay: relay.Relay;
-  readonly limiter: limiterPlace.LimiterPlace;
+  readonly relay: suspicionRelay.SuspicionRelay;
+  readonly limiter: limiterOwner.LimiterOwner;
   readonly notices: noticeRelay.NoticeRelay;
 }
 
@@ -68,7 +68,7 @@
           if (client) deps.keeper.end(client, m.seat, m.how);
           break;
         case "suspicion":
-          if (client) deps.relay.hear(client, m);
+          if (client) deps.relay.receive(client, m);
           break;
         case "attach":
           if (client) deps.limiter.attach(client, m);
@@ -83,7 +83,7 @@
           if (client) deps.limiter.refund(client, m);
           break;
         case "notice":
-          if (client) deps.notices.hear(client, m);
+          if (client) deps.notices.receive(client, m);
           break;
       }
     },
--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -165,7 +165,7 @@
         : SEATLESS;
       p.isAdmissionDecided ||= found.kind !== "diverted";
       if (found.kind === "diverted" || found.kind === "elsewhere") {
-        permit.giveBack();
+        permit.release();
         if (!this.checks.acceptsRequests(best.view.endpoint))
           this.checks.recordDeclined(req, p, best.view.endpoint);
         continue;
@@ -195,7 +195,7 @@
     if (permit.delayMs > 0) await clock.sleep(this.deps.clock, permit.delayMs, stopSignal);
     if (!stopSignal.aborted && permit.isGood()) return permit;
     this.checks.recordDeclined(req, p, endpoint);
-    permit.giveBack();
+    permit.release();
     return undefined;
   }
 
--- a/src/serving/endpoint-host.ts
+++ b/src/serving/endpoint-host.ts
@@ -11,10 +11,10 @@
 import * as feed from "./feed.js";
 import * as host from "./host.js";
 import * as keeper from "./keeper.js";
-import * as limiterPlace from "./limiter-place.js";
+import * as limiterOwner from "./limiter-owner.js";
 import * as noticeRelay from "./notice-relay.js";
 import * as meters from "./meters.js";
-import * as relay from "./relay.js";
+import * as suspicionRelay from "./suspicion-relay.js";
 
 export interface Options {
   /** `ip:port` to listen at for entry daemons. */
@@ -61,11 +61,11 @@
     modelTurn: () => takeTurn(opts, deps, fed, lg),
     notices,
   });
-  const limiter = new limiterPlace.LimiterPlace({ clock: deps.clock, log: deps.log("limiter") });
+  const limiter = new limiterOwner.LimiterOwner({ clock: deps.clock, log: deps.log("limiter") });
   const server = await desk.open(opts.seats, {
     log: deps.log("desk"),
     keeper: manager,
-    relay: new relay.Relay({ clock: deps.clock, log: deps.log("suspicion") }),
+    relay: new suspicionRelay.SuspicionRelay({ clock: deps.clock, log: deps.log("suspicion") }),
     limiter,
     notices,
   });
--- a/src/serving/endpoint-registry.ts
+++ b/src/serving/endpoint-registry.ts
@@ -9,7 +9,7 @@
 import * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
 import * as fleet from "./fleet.js";
-import type * as hearsay from "./hearsay.js";
+import type * as suspicionState from "./suspicion-state.js";
 import * as adapterIndex from "./adapter-index.js";
 import * as incarnation from "./incarnation.js";
 import * as limiter from "./limiter.js";
@@ -327,14 +327,17 @@
    * one beside the worker, from which each host requests a seat before it sends there.
    */
   limitAnnouncers(id: string): readonly link.Link[] {
-    const owners = this.ownerCandidates(limiter.placeKey(limiter.workerKey(id)), limiter.PLACES);
+    const owners = this.ownerCandidates(
+      limiter.ownerKey(limiter.workerKey(id)),
+      limiter.OWNER_CANDIDATES,
+    );
     const e = this.deps.catalog().endpoints.get(incarnation.workerOf(id));
     const besideWorker = e && this.links.get(this.deps.daemonOf(e));
     return [...new Set([...owners, ...(besideWorker ? [besideWorker] : [])])];
   }
 
   /** Sends a message to a few of the connected endpoint daemons, for the same key to the same ones. */
-  relay(key: string, m: hearsay.Message): void {
+  relay(key: string, m: suspicionState.Message): void {
     const connected = [...this.links.values()].filter((l) => l.isConnected);
     const ordered = connected.map((l) => ({ l, score: hash.of32(`${key} ${l.address}`) }));
     ordered.sort((a, b) => a.score - b.score);
--- a/src/serving/entry-host.ts
+++ b/src/serving/entry-host.ts
@@ -6,7 +6,7 @@
 import * as http from "node:http";
 import * as addresses from "../host/address.js";
 import * as authentication from "./authentication.js";
-import * as autopsy from "./autopsy.js";
+import * as crashCheck from "./crash-check.js";
 import * as caps from "./caps.js";
 import * as clock from "../host/clock.js";
 import type * as door from "./door.js";
@@ -67,7 +67,7 @@
   const daemonMetrics = meters.open();
   const upstreams = new upstream.Upstream(deps.protocol);
   let draining = false;
-  const decoder = quarantine.decoding(deps.decoder);
+  const decoder = quarantine.wrapDecoder(deps.decoder);
   let previous = catalog.EMPTY;
   const bounds = authentication.bounds(opts.inForceMs, opts.revokedMs);
   // Fast enough that keys can be accepted and rejected as long as the store answers.
@@ -75,20 +75,20 @@
   const catalogFeed = host.openFeed({ ...deps, decoder }, pace, (current) => {
     if (current.config) callers.configure(current.config.limits);
     for (const id of previous.quarantined)
-      if (!current.quarantined.has(id)) suspectTracker.released(id);
+      if (!current.quarantined.has(id)) suspectTracker.release(id);
     previous = current;
     registry.refresh();
     sharedLimiter.refresh();
     const endpointIds = new Set([...current.endpoints.values()].map((e) => e.id));
     upstreams.retain(endpointIds);
-    notices.keep(endpointIds);
+    notices.retain(endpointIds);
   });
   const suspectTracker = new suspects.Suspects({
     clock: deps.clock,
     log: deps.log("suspicion"),
     catalog: () => catalogFeed.catalog,
-    autopsy: new autopsy.Autopsy(deps.clock),
-    tell: (key, m) => {
+    crashCheck: new crashCheck.CrashCheck(deps.clock),
+    send: (key, m) => {
       registry.relay(key, m);
     },
     claim: (key, ttlMs, text) => deps.source.claim(key, ttlMs, text),
@@ -101,15 +101,17 @@
       catalog: () => catalogFeed.catalog,
       daemonOf: opts.daemonOf,
       onSuspicion: (m, peer) => {
-        suspectTracker.hear(m, peer);
+        suspectTracker.receive(m, peer);
       },
       onNotice: (m, peer) => {
-        notices.learn(m, peer);
+        notices.merge(m, peer);
       },
       messagesOnConnect: (address) => [
-        ...suspectTracker.retold(),
-        ...notices.retold((id) => registry.limitAnnouncers(id).some((l) => l.address === address)),
-        ...sharedLimiter.greeting(address),
+        ...suspectTracker.snapshot(),
+        ...notices.snapshot((id) =>
+          registry.limitAnnouncers(id).some((l) => l.address === address),
+        ),
+        ...sharedLimiter.attachMessagesFor(address),
       ],
       limitWaitMs: (id) => notices.waitMs(id),
       availableInMs: (e) => notices.opensInMs(e),
@@ -121,14 +123,14 @@
     clock: deps.clock,
     log: deps.log("limiter"),
     totals: () => [...caps.totals(catalogFeed.catalog.config, opts.overdraft), ...notices.totals()],
-    places: (key, n) => registry.ownerCandidates(key, n),
-    hosts: () => registry.mostHosts(),
+    ownerCandidates: (key, n) => registry.ownerCandidates(key, n),
+    hostCount: () => registry.mostHosts(),
   });
   const notices = new workerNotices.WorkerNotices({
     clock: deps.clock,
     log: deps.log("notices"),
     limiter: sharedLimiter,
-    tell: (e, m) => {
+    send: (e, m) => {
       for (const l of registry.limitAnnouncers(e.id)) l.send(m);
     },
     random: deps.random,
--- a/src/serving/front.ts
+++ b/src/serving/front.ts
@@ -172,11 +172,11 @@
       case "over": {
         const { perS, burst, unit } = team.cap;
         const why = `the team is at its cap of ${perS} ${unit} a second and ${burst} at once`;
-        return { kind: "refused", status: 429, why, ...subject, comeBackMs: verdict.comeBackMs };
+        return { kind: "refused", status: 429, why, ...subject, comeBackMs: verdict.retryAfterMs };
       }
       case "unsure": {
         const why = "nobody who keeps the team's cap is reached";
-        return { kind: "refused", status: 503, why, ...subject, comeBackMs: verdict.comeBackMs };
+        return { kind: "refused", status: 503, why, ...subject, comeBackMs: verdict.retryAfterMs };
       }
     }
   }
--- a/src/serving/limiter-place.ts
+++ b/src/serving/limiter-owner.ts
@@ -6,7 +6,7 @@
  */
 import type * as clock from "../host/clock.js";
 import type * as record from "../host/record.js";
-import * as allowance from "./allowance.js";
+import * as tokenBalance from "./token-balance.js";
 import type * as announcer from "./announcer.js";
 import * as messages from "./limiter-messages.js";
 import * as peak from "./peak.js";
@@ -20,7 +20,7 @@
 
 interface OwnedTotal {
   readonly total: messages.Total;
-  readonly balance: allowance.Allowance;
+  readonly balance: tokenBalance.Balance;
   readonly attached: ReadonlySet<announcer.Client>;
 }
 
@@ -38,7 +38,7 @@
 }
 
 /** The totals that one endpoint daemon owns. */
-export class LimiterPlace {
+export class LimiterOwner {
   private readonly hosts = new Map<announcer.Client, Host>();
   private readonly owned = new Map<string, OwnedTotal>();
   private readonly loggedAt = new Map<string, number>();
@@ -95,7 +95,7 @@
     const part = this.part(k);
     const { overdraft, aheadMs } = k.total;
     const req = { ...m, patienceMs: Math.min(m.patienceMs, aheadMs) };
-    const result = allowance.draw(k.balance, k.total, part, req, overdraft);
+    const result = tokenBalance.draw(k.balance, k.total, part, req, overdraft);
     this.owned.set(m.key, { ...k, balance: result.left });
     c.send({
       kind: "drawn",
@@ -110,7 +110,7 @@
   refund(c: announcer.Client, m: messages.Refund): void {
     const k = this.refilled(m.key);
     if (!k?.attached.has(c)) return;
-    this.owned.set(m.key, { ...k, balance: allowance.refund(k.balance, k.total, m.units) });
+    this.owned.set(m.key, { ...k, balance: tokenBalance.refund(k.balance, k.total, m.units) });
   }
 
   /**
@@ -129,7 +129,7 @@
   }
 
   private newTotal(total: messages.Total): OwnedTotal {
-    const balance = allowance.begun(this.deps.clock.steady(), total.overdraft);
+    const balance = tokenBalance.initial(this.deps.clock.steady(), total.overdraft);
     return { total, balance, attached: new Set() };
   }
 
@@ -150,9 +150,9 @@
     this.owned.set(key, { ...k, balance: { ...balance, level }, attached });
   }
 
-  private refill(k: OwnedTotal): allowance.Allowance {
+  private refill(k: OwnedTotal): tokenBalance.Balance {
     const now = this.deps.clock.steady();
-    return allowance.flow(k.balance, k.total, this.meanPart(k, now - k.balance.at), now);
+    return tokenBalance.refill(k.balance, k.total, this.meanPart(k, now - k.balance.at), now);
   }
 
   private refilled(key: string): OwnedTotal | undefined {
@@ -203,7 +203,7 @@
     }
   }
 
-  private logExhausted({ total }: OwnedTotal, part: number, result: allowance.Drawn): void {
+  private logExhausted({ total }: OwnedTotal, part: number, result: tokenBalance.DrawResult): void {
     const now = this.deps.clock.steady();
     if (now - (this.loggedAt.get(total.key) ?? -Infinity) < LOG_INTERVAL_MS) return;
     this.loggedAt.set(total.key, now);
--- a/src/serving/limiter.ts
+++ b/src/serving/limiter.ts
@@ -11,12 +11,12 @@
 import type * as clock from "../host/clock.js";
 import * as hash from "../host/hash.js";
 import type * as record from "../host/record.js";
-import * as allowance from "./allowance.js";
+import * as tokenBalance from "./token-balance.js";
 import type * as link from "./link.js";
 import * as messages from "./limiter-messages.js";
 
 /** Number of endpoint daemons that may own one total. */
-export const PLACES = 3;
+export const OWNER_CANDIDATES = 3;
 /**
  * Number of groups of totals; all totals of a group have the same owner, which bounds the number of
  * owners that a host keeps in contact with.
@@ -36,16 +36,16 @@
 const UNDECIDED_RETRY_MS = 400;
 
 /** The decision on one request. */
-export type Verdict =
+export type Decision =
   /** Admitted; it may be sent after `delayMs`. */
   | { readonly kind: "in"; readonly delayMs: number }
   /** Refused: the total is exhausted. */
-  | { readonly kind: "over"; readonly comeBackMs: number }
+  | { readonly kind: "over"; readonly retryAfterMs: number }
   /** Refused: no owner that could decide is reached. */
-  | { readonly kind: "unsure"; readonly comeBackMs: number };
+  | { readonly kind: "unsure"; readonly retryAfterMs: number };
 
 /** The key by which the endpoint daemons that may own a total are ordered. */
-export function placeKey(key: string): string {
+export function ownerKey(key: string): string {
   return `totals/${hash.of32(key) % OWNER_GROUPS}`;
 }
 
@@ -58,7 +58,7 @@
 interface Waiting {
   readonly units: number;
   readonly patienceMs: number;
-  readonly resolve: (v: Verdict) => void;
+  readonly resolve: (v: Decision) => void;
 }
 
 /** Requests that wait for a decision under one total. */
@@ -68,11 +68,11 @@
 }
 
 /** The connection to an endpoint daemon that may own a total. */
-export type Place = Pick<link.Link, "address" | "isHeard" | "isForgotten" | "draw" | "send">;
+export type Owner = Pick<link.Link, "address" | "isHeard" | "isForgotten" | "draw" | "send">;
 
 /** The last message to an owner as text, and the steady ms of the last contact with it. */
 interface LastSent {
-  readonly owner: Place;
+  readonly owner: Owner;
   readonly text: string;
   readonly at: number;
 }
@@ -83,23 +83,23 @@
   /** The current totals. */
   readonly totals: () => readonly messages.Total[];
   /** Connections to the first `n` endpoint daemons in the order for a key. */
-  readonly places: (key: string, n: number) => readonly Place[];
+  readonly ownerCandidates: (key: string, n: number) => readonly Owner[];
   /**
    * The highest recent number of entry daemons; undefined if no number was heard since the start.
    */
-  readonly hosts: () => number | undefined;
+  readonly hostCount: () => number | undefined;
 }
 
 /** Admits requests under totals: one per entry daemon. */
 export class Limiter {
   private readonly queues = new Map<string, Queue>();
   /** The current owner of each total for this host. */
-  private readonly owners = new Map<string, Place>();
+  private readonly owners = new Map<string, Owner>();
   /** Steady ms until which an owner is skipped, by its address. */
   private readonly avoidedUntil = new Map<string, number>();
   /** By the owner's address. */
   private readonly lastSent = new Map<string, LastSent>();
-  private readonly localBalances = new Map<string, allowance.Allowance>();
+  private readonly localBalances = new Map<string, tokenBalance.Balance>();
   /** Steady ms until which requests promised by a total's previous owner may still be sent. */
   private readonly promisedUntil = new Map<string, number>();
   private timer: clock.Timer | undefined;
@@ -107,7 +107,7 @@
   constructor(private readonly deps: Deps) {}
 
   /** Decides on one more request of `units` under a total; it may wait for `patienceMs`. */
-  admit(total: messages.Total, units: number, patienceMs: number): Promise<Verdict> {
+  admit(total: messages.Total, units: number, patienceMs: number): Promise<Decision> {
     const queue = this.queues.get(total.key) ?? { waiting: [], asking: false };
     this.queues.set(total.key, queue);
     return new Promise((resolve) => {
@@ -121,11 +121,11 @@
     const owner = this.owners.get(total.key);
     const balance = this.localBalances.get(total.key);
     if (owner) owner.send({ kind: "refund", key: total.key, units });
-    else if (balance) this.localBalances.set(total.key, allowance.refund(balance, total, units));
+    else if (balance) this.localBalances.set(total.key, tokenBalance.refund(balance, total, units));
   }
 
   /** The messages that an owner must receive on a new connection before it is asked anything. */
-  greeting(address: string): readonly messages.Attach[] {
+  attachMessagesFor(address: string): readonly messages.Attach[] {
     this.lastSent.delete(address);
     const owned = this.deps.totals().filter((t) => this.owners.get(t.key)?.address === address);
     const owner = owned[0] && this.owners.get(owned[0].key);
@@ -144,7 +144,7 @@
     const totals = this.deps.totals();
     this.prune(totals);
     if (totals.length === 0 && this.lastSent.size === 0) return;
-    const byOwner = new Map<Place, messages.Total[]>();
+    const byOwner = new Map<Owner, messages.Total[]>();
     for (const t of totals) {
       const owner = this.chooseOwner(t);
       if (owner) byOwner.set(owner, [...(byOwner.get(owner) ?? []), t]);
@@ -176,7 +176,7 @@
    * The total's owner for this host. A new owner takes over only once the previous one no longer
    * counts this host, so that no part of a total is granted twice.
    */
-  private chooseOwner({ key, aheadMs }: messages.Total): Place | undefined {
+  private chooseOwner({ key, aheadMs }: messages.Total): Owner | undefined {
     const candidate = this.firstAvailable(key);
     const owner = this.owners.get(key);
     if (owner === candidate || (owner && !this.isReleased(owner))) return owner;
@@ -201,33 +201,33 @@
    * Whether an owner no longer counts this host, or will receive the detaching message before any
    * other.
    */
-  private isReleased(owner: Place): boolean {
+  private isReleased(owner: Owner): boolean {
     if (owner.isForgotten || this.isAvailable(owner)) return true;
     return this.leaseLeftMs(owner) <= 0;
   }
 
-  private leaseLeftMs(owner: Place): number {
+  private leaseLeftMs(owner: Owner): number {
     const at = this.lastSent.get(owner.address)?.at ?? -Infinity;
     return at + messages.LEASE_MS + MAX_TRANSIT_MS - this.deps.clock.steady();
   }
 
-  private isAvailable(owner: Place): boolean {
+  private isAvailable(owner: Owner): boolean {
     const avoidedUntil = this.avoidedUntil.get(owner.address) ?? -Infinity;
     return owner.isHeard && avoidedUntil <= this.deps.clock.steady();
   }
 
   /** Endpoint daemons that may own a total, in order. */
-  private candidates(key: string): readonly Place[] {
-    return this.deps.places(placeKey(key), PLACES);
+  private candidates(key: string): readonly Owner[] {
+    return this.deps.ownerCandidates(ownerKey(key), OWNER_CANDIDATES);
   }
 
   /** The first candidate in a total's order that is reached and answers. */
-  private firstAvailable(key: string): Place | undefined {
+  private firstAvailable(key: string): Owner | undefined {
     return this.candidates(key).find((o) => this.isAvailable(o));
   }
 
   /** Owners that still have totals attached for this host but own none of them any more. */
-  private formerOwners(byOwner: ReadonlyMap<Place, unknown>): readonly Place[] {
+  private formerOwners(byOwner: ReadonlyMap<Owner, unknown>): readonly Owner[] {
     const addresses = new Set([...byOwner.keys()].map((p) => p.address));
     const others = [...this.lastSent.values()].filter((t) => !addresses.has(t.owner.address));
     for (const { owner } of others) {
@@ -236,7 +236,7 @@
     return others.map((t) => t.owner);
   }
 
-  private sendTotals(owner: Place, totals: readonly messages.Total[]): void {
+  private sendTotals(owner: Owner, totals: readonly messages.Total[]): void {
     if (!this.isAvailable(owner)) return;
     const m = this.attachMessage(totals);
     const text = JSON.stringify(m);
@@ -246,7 +246,7 @@
     this.recordSent(owner, text);
   }
 
-  private recordSent(owner: Place, text: string): void {
+  private recordSent(owner: Owner, text: string): void {
     this.lastSent.set(owner.address, { owner, text, at: this.deps.clock.steady() });
   }
 
@@ -255,7 +255,7 @@
   }
 
   private hostCount(): number {
-    return Math.max(1, this.deps.hosts() ?? DEFAULT_HOSTS);
+    return Math.max(1, this.deps.hostCount() ?? DEFAULT_HOSTS);
   }
 
   /** Asks the owner for all waiting requests, in batches, until none is waiting. */
@@ -276,9 +276,12 @@
     queue.asking = false;
   }
 
-  private async drawFromOwner(total: messages.Total, req: allowance.Wish): Promise<DrawOutcome> {
+  private async drawFromOwner(
+    total: messages.Total,
+    req: tokenBalance.DrawRequest,
+  ): Promise<DrawOutcome> {
     const { key } = total;
-    for (let attempt = 0; attempt < PLACES; attempt++) {
+    for (let attempt = 0; attempt < OWNER_CANDIDATES; attempt++) {
       const current = this.owners.get(key);
       const isHandover = !current && this.promisedMs(key) > 0;
       if (!isHandover && !(current && this.isAvailable(current))) this.refresh();
@@ -308,22 +311,22 @@
    * known.
    */
   private localPart(key: string): number | undefined {
-    if (this.deps.hosts() === undefined && this.candidates(key).length > 0) return undefined;
+    if (this.deps.hostCount() === undefined && this.candidates(key).length > 0) return undefined;
     return 1 / this.hostCount();
   }
 
-  private localBalance(total: messages.Total, part: number): allowance.Allowance {
+  private localBalance(total: messages.Total, part: number): tokenBalance.Balance {
     const now = this.deps.clock.steady();
     const balance =
-      this.localBalances.get(total.key) ?? allowance.begun(now, part * total.overdraft);
-    return allowance.flow(balance, total, part, now);
+      this.localBalances.get(total.key) ?? tokenBalance.initial(now, part * total.overdraft);
+    return tokenBalance.refill(balance, total, part, now);
   }
 
-  private drawLocally(total: messages.Total, req: allowance.Wish): DrawOutcome {
+  private drawLocally(total: messages.Total, req: tokenBalance.DrawRequest): DrawOutcome {
     const part = this.localPart(total.key);
     if (part === undefined) return { delaysMs: [], refusal: undecided(UNDECIDED_RETRY_MS) };
     const balance = this.localBalance(total, part);
-    const result = allowance.draw(balance, total, part, req, total.overdraft);
+    const result = tokenBalance.draw(balance, total, part, req, total.overdraft);
     this.localBalances.set(total.key, result.left);
     return { delaysMs: result.delaysMs, refusal: refusalFor(result.waitMs) };
   }
@@ -335,15 +338,15 @@
  */
 interface DrawOutcome {
   readonly delaysMs: readonly number[];
-  readonly refusal: Verdict;
+  readonly refusal: Decision;
 }
 
-function undecided(comeBackMs: number): Verdict {
-  return { kind: "unsure", comeBackMs };
+function undecided(waitMs: number): Decision {
+  return { kind: "unsure", retryAfterMs: waitMs };
 }
 
-function refusalFor(waitMs: number | undefined): Verdict {
+function refusalFor(waitMs: number | undefined): Decision {
   return waitMs === undefined
     ? undecided(UNDECIDED_RETRY_MS)
-    : { kind: "over", comeBackMs: waitMs };
+    : { kind: "over", retryAfterMs: waitMs };
 }
--- a/src/serving/link.ts
+++ b/src/serving/link.ts
@@ -7,10 +7,10 @@
 import type * as clock from "../host/clock.js";
 import type * as record from "../host/record.js";
 import * as catalog from "./catalog.js";
-import type * as allowance from "./allowance.js";
+import type * as tokenBalance from "./token-balance.js";
 import type * as choice from "./choice.js";
-import * as draws from "./draws.js";
-import type * as hearsay from "./hearsay.js";
+import * as pendingDraws from "./pending-draws.js";
+import type * as suspicionState from "./suspicion-state.js";
 import type * as limiterMessages from "./limiter-messages.js";
 import type * as noticeMessages from "./notice-messages.js";
 import * as lines from "./lines.js";
@@ -80,7 +80,7 @@
   /** Called with the number of entry daemons that the endpoint daemon says are connected to it. */
   readonly onEntryCount: (entries: number) => void;
   /** Called with a message about requests that crash workers. */
-  readonly onSuspicion: (m: hearsay.Message, peer: string) => void;
+  readonly onSuspicion: (m: suspicionState.Message, peer: string) => void;
   /** Called with a message that relays what a worker announced about itself. */
   readonly onNotice: (m: noticeMessages.Notice, peer: string) => void;
   /** The messages to send to the endpoint daemon at an address once it is connected. */
@@ -111,7 +111,7 @@
   private slotsSinceState = 0;
   private nextNumber = 0;
   private readonly waitingSeats = new Map<number, WaitingSeat>();
-  private readonly draws: draws.Draws;
+  private readonly draws: pendingDraws.PendingDraws;
   private reconnectMs = RECONNECT_MS;
   private reconnectTimer: clock.Timer | undefined;
   private silenceTimer: clock.Timer | undefined;
@@ -130,7 +130,7 @@
     private readonly deps: Deps,
   ) {
     this.createdAt = deps.clock.mono();
-    this.draws = new draws.Draws(deps.clock);
+    this.draws = new pendingDraws.PendingDraws(deps.clock);
     this.connect();
   }
 
@@ -198,7 +198,7 @@
    * Draws requests from a shared total. Resolves with undefined where the endpoint daemon is not connected or does not
    * answer in time.
    */
-  draw(key: string, req: allowance.Wish): Promise<limiterMessages.Drawn | undefined> {
+  draw(key: string, req: tokenBalance.DrawRequest): Promise<limiterMessages.Drawn | undefined> {
     const { channel } = this;
     if (!channel) return Promise.resolve(undefined);
     const n = this.nextNumber++;
@@ -289,7 +289,7 @@
     this.unansweredSince = undefined;
     this.tokensSinceState = 0;
     for (const n of [...this.waitingSeats.keys()]) this.settle(n, { kind: "unreachable" });
-    this.draws.drop();
+    this.draws.failAll();
     if (this.closed) return;
     this.reconnectTimer = this.deps.clock.after(this.reconnectMs, () => {
       this.connect();
--- a/src/serving/notice-messages.ts
+++ b/src/serving/notice-messages.ts
@@ -27,7 +27,7 @@
 export type Notice = zod.infer<typeof notice>;
 
 /** Makes the message for a worker's known state. */
-export function of(worker: string, { limit, leavingAt }: availability.Availability): Notice {
+export function toMessage(worker: string, { limit, leavingAt }: availability.Availability): Notice {
   return {
     kind: "notice",
     worker,
@@ -39,6 +39,6 @@
 }
 
 /** The update that a message carries. */
-export function newsOf({ limit, leaving }: Notice): availability.News {
+export function toUpdate({ limit, leaving }: Notice): availability.Update {
   return { limit, leaving };
 }
--- a/src/serving/notice-relay.ts
+++ b/src/serving/notice-relay.ts
@@ -29,7 +29,7 @@
   /** An entry daemon connected: sends it the known states. */
   join(c: announcer.Client): void {
     this.clients.add(c);
-    for (const [worker, state] of this.states) c.send(messages.of(worker, state));
+    for (const [worker, state] of this.states) c.send(messages.toMessage(worker, state));
   }
 
   /** An entry daemon disconnected. */
@@ -46,18 +46,19 @@
    * Takes in an entry daemon's report about a worker. Changes are sent to the other entry daemons;
    * if the sender knows less than this daemon, it is sent the known state.
    */
-  hear(from: announcer.Client, m: messages.Notice): void {
+  receive(from: announcer.Client, m: messages.Notice): void {
     const before = this.stateOf(m.worker);
-    const after = availability.learn(before, messages.newsOf(m), this.clk.steady());
+    const after = availability.merge(before, messages.toUpdate(m), this.clk.steady());
     if (after !== before) this.update(m.worker, after, from);
-    if (availability.isAhead(after, messages.newsOf(m))) from.send(messages.of(m.worker, after));
+    if (availability.hasMoreThan(after, messages.toUpdate(m)))
+      from.send(messages.toMessage(m.worker, after));
   }
 
   /** Takes in what the worker beside this daemon announces. */
   observe(worker: string, a: availability.Answer): void {
     const before = this.stateOf(worker);
     const after = availability.observe(before, a);
-    if (availability.isNews(before, after)) this.update(worker, after);
+    if (availability.shouldPropagate(before, after)) this.update(worker, after);
   }
 
   private stateOf(worker: string): availability.Availability {
@@ -69,7 +70,7 @@
     this.states.set(worker, state);
     const [oldest] = this.states.keys();
     if (this.states.size > MAX_WORKERS && oldest !== undefined) this.states.delete(oldest);
-    for (const c of this.clients) if (c !== from) c.send(messages.of(worker, state));
+    for (const c of this.clients) if (c !== from) c.send(messages.toMessage(worker, state));
     this.onChange();
   }
 }
--- a/src/serving/notices.ts
+++ b/src/serving/notices.ts
@@ -6,7 +6,7 @@
  */
 
 /** One announcement of an answer: parsed, absent, or not parsable. */
-export type Said<T> =
+export type Announced<T> =
   | { readonly kind: "said"; readonly value: T }
   | { readonly kind: "unsaid" }
   | { readonly kind: "unreadable"; readonly text: string };
@@ -14,18 +14,18 @@
 /** What one answer announces about its worker. */
 export interface Notice {
   /** Requests per second that it accepts from all hosts together. */
-  readonly limit: Said<number>;
+  readonly limit: Announced<number>;
   /** Whether it is leaving. */
-  readonly leaving: Said<true>;
+  readonly leaving: Announced<true>;
   /**
    * Length of the requested pause: milliseconds for which it accepts no request from the host that
    * it answers.
    */
-  readonly retryAfterMs: Said<number>;
+  readonly retryAfterMs: Announced<number>;
 }
 
 /** No announcement. */
-export const UNSAID = { kind: "unsaid" } as const;
+export const ABSENT = { kind: "unsaid" } as const;
 
 /** The notice of an answer without announcements. */
-export const NOTHING: Notice = { limit: UNSAID, leaving: UNSAID, retryAfterMs: UNSAID };
+export const EMPTY: Notice = { limit: ABSENT, leaving: ABSENT, retryAfterMs: ABSENT };
--- a/src/serving/draws.ts
+++ b/src/serving/pending-draws.ts
@@ -9,7 +9,7 @@
 type Reply = limiterMessages.Drawn | undefined;
 
 /** The pending draws of one connection, by their ids. */
-export class Draws {
+export class PendingDraws {
   private readonly pending = new Map<number, (a: Reply) => void>();
 
   constructor(private readonly clk: clock.Clock) {}
@@ -35,7 +35,7 @@
   }
 
   /** Resolves all pending draws without a reply, because the connection is closed. */
-  drop(): void {
+  failAll(): void {
     for (const n of [...this.pending.keys()]) this.settle(n, undefined);
   }
 }
--- a/src/serving/quarantine.ts
+++ b/src/serving/quarantine.ts
@@ -48,7 +48,7 @@
 }
 
 /** Extends a decoder to these keys. Their values are ignored. */
-export function decoding(inner: feed.Decoder): feed.Decoder {
+export function wrapDecoder(inner: feed.Decoder): feed.Decoder {
   return {
     prefixes: [...inner.prefixes, PREFIX],
     common: inner.common === "" || PREFIX.startsWith(inner.common) ? inner.common : "",
--- a/src/serving/seat.ts
+++ b/src/serving/seat.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import * as zod from "zod";
-import * as hearsay from "./hearsay.js";
+import * as suspicionState from "./suspicion-state.js";
 import * as limiterMessages from "./limiter-messages.js";
 import * as noticeMessages from "./notice-messages.js";
 
@@ -48,7 +48,7 @@
       how: zod.enum(["whole", "failed", "not_run", "left", "absent"]),
     })
     .readonly(),
-  hearsay.wire,
+  suspicionState.wire,
   noticeMessages.notice,
   ...limiterMessages.fromEntry,
 ]);
@@ -106,7 +106,7 @@
 export const fromEndpoint = zod.discriminatedUnion("kind", [
   state,
   holdings,
-  hearsay.wire,
+  suspicionState.wire,
   noticeMessages.notice,
   limiterMessages.drawn,
   zod
--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -106,7 +106,7 @@
 
   /** Whether a request is quarantined because workers end under it, as found by all hosts together. */
   isQuarantined(req: callerRequest.CallerRequest, p: progress.Progress): boolean {
-    const verdict = this.deps.suspects.judge(req);
+    const verdict = this.deps.suspects.evaluate(req);
     if (verdict.kind !== "quarantined") return false;
     p.why = `workers end under the request ${identity.of(req)}`;
     p.releaseMs = verdict.releaseMs;
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -116,7 +116,7 @@
     p.catalogAgeMs = Math.round(this.deps.catalogAgeMs());
     p.isRetryCharged = false;
     const { notices } = this.deps;
-    notices.sent(endpoint);
+    notices.recordSend(endpoint);
     if (notices.of(endpoint.id) !== undefined) {
       this.deps.metrics.noticed(req.service.name, "limit", "sent");
     }
@@ -152,7 +152,7 @@
   /** Handles a request that was withheld before its first byte was written. */
   private handleWithheld(send: SendState): progress.Ending | undefined {
     const { req, res, p } = send;
-    send.grants.permit.giveBack();
+    send.grants.permit.release();
     this.settle(send, "left", undefined);
     if (send.withholdReason === undefined) this.deps.checks.recordDeclined(req, p, send.endpoint);
     return send.withholdReason === "refused"
@@ -163,7 +163,7 @@
   /** Handles a request of which nothing was sent: no connection was made, or it was given up before. */
   private handleUnsent(send: SendState, why: string): void {
     const isStoppedHere = send.res.disconnected.aborted || send.stopSignal.aborted;
-    send.grants.permit.giveBack();
+    send.grants.permit.release();
     send.p.sends++;
     this.recordNotRun(send, why);
     this.settle(send, isStoppedHere ? "left" : "not_run", isStoppedHere ? undefined : false);
@@ -185,7 +185,7 @@
     ran: boolean,
   ): void {
     const sentAt = startedAt ?? this.deps.clock.steady();
-    this.deps.notices.heard(endpoint, { request: req.meta.id, notice, sentAt, ran });
+    this.deps.notices.observe(endpoint, { request: req.meta.id, notice, sentAt, ran });
   }
 
   /** Logs a send that did not lead to an answer. */
@@ -217,7 +217,7 @@
     const isStoppedHere = send.res.disconnected.aborted || send.stopSignal.aborted;
     if (!isStoppedHere) {
       const underWayMs = this.deps.clock.mono() - send.sentAt;
-      const examination = this.deps.suspects.broke(send.req, send.endpoint, underWayMs);
+      const examination = this.deps.suspects.recordBrokenSend(send.req, send.endpoint, underWayMs);
       // Before the request is sent to another worker, it must be known whether it ended this one.
       if (catalog.repeatable(send.req.route)) await examination;
     }
@@ -283,7 +283,7 @@
     p.firstByteAt = this.deps.clock.mono();
     const isFailure = result.status >= FIRST_FAILURE_STATUS;
     this.settle(send, isFailure ? "failed" : "whole", !isFailure);
-    this.deps.suspects.ran(req);
+    this.deps.suspects.recordCompletion(req);
     res.sendWhole(result.status, result.headers, body);
     if (!isFailure) return "whole";
     p.why = `${send.endpoint.id} answered with status ${result.status}`;
@@ -324,7 +324,7 @@
     if (!p.hasResponseBegun) res.writeHead(result.status, result.headers);
     if (splitter.remainder().length > 0) void res.write(splitter.remainder());
     this.settle(send, "whole", true);
-    this.deps.suspects.ran(send.req);
+    this.deps.suspects.recordCompletion(send.req);
     res.end();
     return "whole";
   }
--- a/src/serving/suspects.ts
+++ b/src/serving/suspects.ts
@@ -8,9 +8,9 @@
 import * as errors from "../host/why.js";
 import type * as record from "../host/record.js";
 import type * as callerRequest from "./caller-request.js";
-import type * as autopsy from "./autopsy.js";
+import type * as crashCheck from "./crash-check.js";
 import * as catalog from "./catalog.js";
-import * as hearsay from "./hearsay.js";
+import * as suspicionState from "./suspicion-state.js";
 import * as identity from "./identity.js";
 import * as quarantine from "./quarantine.js";
 import * as suspicion from "./suspicion.js";
@@ -19,12 +19,12 @@
   readonly clock: clock.Clock;
   readonly log: record.Log;
   readonly catalog: () => catalog.Catalog;
-  readonly autopsy: autopsy.Autopsy;
+  readonly crashCheck: crashCheck.CrashCheck;
   /**
    * Sends a message to some endpoint daemons: always the same ones for a key, as long as they are
    * connected.
    */
-  readonly tell: (key: string, m: hearsay.Message) => void;
+  readonly send: (key: string, m: suspicionState.Message) => void;
   /** Creates a key in the store that expires after `ttlMs`; throws if the outcome is unknown. */
   readonly claim: (key: string, ttlMs: number, text: string) => Promise<boolean>;
 }
@@ -41,35 +41,35 @@
 
 /** Tracks requests that crash their workers: one per entry daemon. */
 export class Suspects {
-  private readonly known: hearsay.Hearsay;
+  private readonly known: suspicionState.SuspicionState;
   /** What this host has observed itself; sent to endpoint daemons on a new connection. */
-  private readonly observed: hearsay.Hearsay;
+  private readonly observed: suspicionState.SuspicionState;
   /** Identities whose key in the store is being written. */
   private readonly persisting = new Set<string>();
 
   constructor(private readonly deps: Deps) {
-    this.known = new hearsay.Hearsay(deps);
-    this.observed = new hearsay.Hearsay(deps);
+    this.known = new suspicionState.SuspicionState(deps);
+    this.observed = new suspicionState.SuspicionState(deps);
   }
 
   /** Number of requests under which workers crashed recently. */
   get size(): number {
-    return this.known.book.ends.size;
+    return this.known.records.crashes.size;
   }
 
   /** The verdict on a request. Costs nothing while no request is suspected or quarantined. */
-  judge(a: callerRequest.CallerRequest): suspicion.Verdict {
+  evaluate(a: callerRequest.CallerRequest): suspicion.Verdict {
     const { quarantined } = this.deps.catalog();
-    if (this.known.isQuiet && quarantined.size === 0) return suspicion.FREE;
+    if (this.known.isEmpty && quarantined.size === 0) return suspicion.FREE;
     const id = identity.of(a);
     const verdict = this.verdict(id);
     if (verdict.kind === "quarantined" || !quarantined.has(id)) return verdict;
-    return { kind: "quarantined", workers: [], releaseMs: suspicion.LAPSE_MS };
+    return { kind: "quarantined", workers: [], releaseMs: suspicion.EXPIRY_MS };
   }
 
   /** Voids the known crashes of a request that an operator released or whose quarantine expired. */
-  released(id: string): void {
-    const crashes = this.known.book.ends.get(id);
+  release(id: string): void {
+    const crashes = this.known.records.crashes.get(id);
     if (crashes)
       this.publish({ kind: "ran", identity: id, workers: [...crashes.keys()], ageMs: 0 });
   }
@@ -78,14 +78,14 @@
    * Records that a send broke off after `underWayMs`; resolves once it is known whether the worker
    * crashed.
    */
-  async broke(
+  async recordBrokenSend(
     a: callerRequest.CallerRequest,
     worker: catalog.Endpoint,
     underWayMs: number,
   ): Promise<void> {
     // A worker that announced that it is leaving ends as planned; that proves nothing.
     if (!catalog.isInUse(this.deps.catalog(), worker)) return;
-    if (!(await this.deps.autopsy.hasEnded(worker))) return;
+    if (!(await this.deps.crashCheck.hasCrashed(worker))) return;
     const id = identity.of(a);
     const peers = Math.max(1, catalog.endpointsOf(this.deps.catalog(), a.service).length);
     this.publish({ kind: "ended", identity: id, worker: worker.id, underWayMs, peers, ageMs: 0 });
@@ -110,7 +110,7 @@
       try {
         const { workers } = this.verdict(id);
         const text = quarantine.encode({ workers, at: this.deps.clock.now() });
-        await this.deps.claim(quarantine.keyOf(id), suspicion.LAPSE_MS, text);
+        await this.deps.claim(quarantine.keyOf(id), suspicion.EXPIRY_MS, text);
         break;
       } catch (err) {
         this.deps.log.warn("Could not write a quarantined request to the store.", {
@@ -128,14 +128,14 @@
   }
 
   private verdict(id: string): suspicion.Verdict {
-    return suspicion.judge(this.known.book, id, this.deps.clock.mono());
+    return suspicion.evaluate(this.known.records, id, this.deps.clock.mono());
   }
 
   /** Records that a request ran to its end, which voids the crashes known for it. */
-  ran(a: callerRequest.CallerRequest): void {
-    if (this.known.isQuiet) return;
+  recordCompletion(a: callerRequest.CallerRequest): void {
+    if (this.known.isEmpty) return;
     const id = identity.of(a);
-    const crashes = this.known.book.ends.get(id);
+    const crashes = this.known.records.crashes.get(id);
     if (!crashes) return;
     const workers = [...crashes.keys()];
     this.publish({ kind: "ran", identity: id, workers, ageMs: 0 });
@@ -147,19 +147,19 @@
   }
 
   /** Takes in a message that an endpoint daemon relays. */
-  hear(m: hearsay.Message, peer: string): void {
-    for (const n of this.known.hear(m, peer)) this.noteQuarantine(n, peer);
+  receive(m: suspicionState.Message, peer: string): void {
+    for (const n of this.known.receive(m, peer)) this.noteQuarantine(n, peer);
   }
 
   /** The messages for a newly connected endpoint daemon. */
-  retold(): readonly hearsay.Message[] {
-    return this.observed.retold();
+  snapshot(): readonly suspicionState.Message[] {
+    return this.observed.snapshot();
   }
 
   private publish(n: suspicion.News): void {
-    this.known.take([n]);
-    this.observed.take([n]);
-    for (const m of hearsay.messages([n])) this.deps.tell(n.identity, m);
+    this.known.apply([n]);
+    this.observed.apply([n]);
+    for (const m of suspicionState.messages([n])) this.deps.send(n.identity, m);
   }
 
   /**
@@ -171,7 +171,7 @@
     if (n.kind !== "ended" || verdict.kind !== "quarantined") return;
     // Each host that observed one of the crashes writes the key, since possibly none of them
     // observed all.
-    if (this.observed.book.ends.has(n.identity)) void this.persist(n.identity);
+    if (this.observed.records.crashes.has(n.identity)) void this.persist(n.identity);
     this.deps.log.warn("A request is in quarantine: it crashed its workers.", {
       identity: n.identity,
       workers: verdict.workers,
--- a/src/serving/relay.ts
+++ b/src/serving/suspicion-relay.ts
@@ -5,21 +5,21 @@
  * @module
  */
 import type * as announcer from "./announcer.js";
-import * as hearsay from "./hearsay.js";
+import * as suspicionState from "./suspicion-state.js";
 
 /** Relays suspicion messages between the connected entry daemons. */
-export class Relay {
-  private readonly state: hearsay.Hearsay;
+export class SuspicionRelay {
+  private readonly state: suspicionState.SuspicionState;
   private readonly clients = new Set<announcer.Client>();
 
-  constructor(deps: hearsay.Deps) {
-    this.state = new hearsay.Hearsay(deps);
+  constructor(deps: suspicionState.Deps) {
+    this.state = new suspicionState.SuspicionState(deps);
   }
 
   /** An entry daemon connected: sends it all known records. */
   join(c: announcer.Client): void {
     this.clients.add(c);
-    for (const m of this.state.retold()) c.send(m);
+    for (const m of this.state.snapshot()) c.send(m);
   }
 
   /** An entry daemon disconnected. */
@@ -28,8 +28,8 @@
   }
 
   /** Takes in an entry daemon's report; what is new is sent to the other entry daemons. */
-  hear(from: announcer.Client, m: hearsay.Message): void {
-    for (const news of hearsay.messages(this.state.hear(m, from.host))) {
+  receive(from: announcer.Client, m: suspicionState.Message): void {
+    for (const news of suspicionState.messages(this.state.receive(m, from.host))) {
       for (const c of this.clients) if (c !== from) c.send(news);
     }
   }
--- a/src/serving/hearsay.ts
+++ b/src/serving/suspicion-state.ts
@@ -56,7 +56,7 @@
 }
 
 /** The crash records of one daemon, updated by messages. */
-export class Hearsay {
+export class SuspicionState {
   private at = suspicion.EMPTY;
   private unreadable = 0;
   /**
@@ -68,40 +68,40 @@
   constructor(private readonly deps: Deps) {}
 
   /** The records that have not expired. */
-  get book(): suspicion.Book {
+  get records(): suspicion.CrashRecords {
     const now = this.deps.clock.mono();
     if (now >= this.expiresAt) {
-      this.at = suspicion.lapse(this.at, now);
-      this.expiresAt = now + suspicion.LAPSE_MS / EXPIRY_CHECKS;
+      this.at = suspicion.expire(this.at, now);
+      this.expiresAt = now + suspicion.EXPIRY_MS / EXPIRY_CHECKS;
     }
     return this.at;
   }
 
   /** Whether no crash is known. */
-  get isQuiet(): boolean {
-    return this.at.ends.size === 0;
+  get isEmpty(): boolean {
+    return this.at.crashes.size === 0;
   }
 
   /** Number of messages that could not be parsed. */
-  get refused(): number {
+  get unreadableCount(): number {
     return this.unreadable;
   }
 
   /** Applies news; returns the pieces that changed something. */
-  take(all: readonly suspicion.News[]): readonly suspicion.News[] {
+  apply(all: readonly suspicion.News[]): readonly suspicion.News[] {
     const now = this.deps.clock.mono();
     return all.filter((n) => {
       const before = this.at;
-      this.at = suspicion.take(before, n, now);
-      this.expiresAt = Math.min(this.expiresAt, now + suspicion.LAPSE_MS - n.ageMs);
+      this.at = suspicion.apply(before, n, now);
+      this.expiresAt = Math.min(this.expiresAt, now + suspicion.EXPIRY_MS - n.ageMs);
       return this.at !== before;
     });
   }
 
   /** Applies a peer's message; one that cannot be parsed is counted and changes nothing. */
-  hear(m: Message, peer: string): readonly suspicion.News[] {
+  receive(m: Message, peer: string): readonly suspicion.News[] {
     const read = message.safeParse(m.news);
-    if (read.success) return this.take(read.data);
+    if (read.success) return this.apply(read.data);
     this.unreadable++;
     this.deps.log.error("A suspicion message cannot be parsed.", {
       peer,
@@ -112,7 +112,7 @@
   }
 
   /** The messages for a newly connected peer. */
-  retold(): readonly Message[] {
-    return messages(suspicion.retold(this.book, this.deps.clock.mono()));
+  snapshot(): readonly Message[] {
+    return messages(suspicion.snapshot(this.records, this.deps.clock.mono()));
   }
 }
--- a/src/serving/suspicion.ts
+++ b/src/serving/suspicion.ts
@@ -15,7 +15,7 @@
  */
 
 /** A worker crashed while a request was on it. */
-export interface End {
+export interface Crash {
   readonly identity: string;
   /** Id of the worker's incarnation. */
   readonly worker: string;
@@ -27,7 +27,7 @@
 
 /** What hosts tell one another. */
 export type News =
-  | (End & { readonly kind: "ended"; readonly ageMs: number })
+  | (Crash & { readonly kind: "ended"; readonly ageMs: number })
   /** The request has since run to its end, which voids the crashes that the sender knew of. */
   | {
       readonly kind: "ran";
@@ -37,14 +37,14 @@
     };
 
 /** A crash as one host recorded it; `at` in monotonic ms. */
-interface RecordedCrash extends End {
+interface RecordedCrash extends Crash {
   readonly at: number;
 }
 
 /** The known crashes under requests. */
-export interface Book {
+export interface CrashRecords {
   /** By identity, then by worker. */
-  readonly ends: ReadonlyMap<string, ReadonlyMap<string, RecordedCrash>>;
+  readonly crashes: ReadonlyMap<string, ReadonlyMap<string, RecordedCrash>>;
   /**
    * Crashes that no longer count against their request, by {@link pair}, with the monotonic ms of
    * each. The worker did crash, so they still show how often workers crash without that request.
@@ -53,7 +53,7 @@
 }
 
 /** Records without crashes. */
-export const EMPTY: Book = { ends: new Map(), voided: new Map() };
+export const EMPTY: CrashRecords = { crashes: new Map(), voided: new Map() };
 
 /** Whether a request may be sent to a worker. */
 export type Verdict =
@@ -73,7 +73,7 @@
 /**
  * Minimum number of crashes for quarantine. One or two may be coincidence; the users accept three.
  */
-export const PROOFS = 3;
+export const MIN_CRASHES = 3;
 /**
  * Maximum probability that the crashes of a quarantined request are coincidence: less than one
  * request in a hundred million is quarantined in error. With 13 workers of which none crashes
@@ -85,7 +85,7 @@
  * Milliseconds for which a crash counts. That gives an operator time to look, and a request that
  * does crash its workers costs no more than three of them in that time.
  */
-export const LAPSE_MS = 600_000;
+export const EXPIRY_MS = 600_000;
 /**
  * Maximum number of requests and of voided crashes kept. A worker that crashes is running about ten
  * requests, so this is room for a hundred crashes. Beyond it the request with the fewest crashes is
@@ -119,9 +119,9 @@
 }
 
 /** The records after one piece of news; the same object if it changes nothing. */
-export function take(records: Book, news: News, now: number): Book {
+export function apply(records: CrashRecords, news: News, now: number): CrashRecords {
   const at = now - news.ageMs;
-  if (now - at >= LAPSE_MS) return records;
+  if (now - at >= EXPIRY_MS) return records;
   switch (news.kind) {
     case "ended":
       return recordCrash(records, { ...news, at });
@@ -130,22 +130,22 @@
   }
 }
 
-function recordCrash(records: Book, crash: RecordedCrash): Book {
+function recordCrash(records: CrashRecords, crash: RecordedCrash): CrashRecords {
   const { identity, worker, underWayMs, peers, at } = crash;
-  const known = records.ends.get(identity);
+  const known = records.crashes.get(identity);
   if (records.voided.has(pair(identity, worker))) return records;
   const before = known?.get(worker);
   // Two hosts may report the same crash; all keep the longer time on the worker, which is the
   // weaker evidence, whichever report came first.
   if (before && before.underWayMs >= underWayMs) return records;
   const kept = { identity, worker, underWayMs, peers, at: Math.min(at, before?.at ?? at) };
-  const ends = new Map(records.ends).set(identity, new Map(known).set(worker, kept));
+  const ends = new Map(records.crashes).set(identity, new Map(known).set(worker, kept));
   if (ends.size > MAX_REQUESTS) ends.delete(evictionCandidate(ends));
-  return { ...records, ends };
+  return { ...records, crashes: ends };
 }
 
 /** The identity with the fewest crashes, and among those the oldest. */
-function evictionCandidate(ends: Book["ends"]): string {
+function evictionCandidate(ends: CrashRecords["crashes"]): string {
   let least = "";
   let fewest = Infinity;
   for (const [identity, crashes] of ends) {
@@ -157,15 +157,15 @@
 }
 
 function voidCrashes(
-  records: Book,
+  records: CrashRecords,
   identity: string,
   workers: readonly string[],
   at: number,
-): Book {
+): CrashRecords {
   const newlyVoided = workers.filter((w) => !records.voided.has(pair(identity, w)));
   if (newlyVoided.length === 0) return records;
   const voided = new Map(records.voided);
-  const ownCrashes = records.ends.get(identity);
+  const ownCrashes = records.crashes.get(identity);
   for (const w of newlyVoided) voided.set(pair(identity, w), ownCrashes?.get(w)?.at ?? at);
   for (const oldest of voided.keys()) {
     if (voided.size <= MAX_VOIDED) break;
@@ -173,33 +173,33 @@
   }
   const remaining = new Map(ownCrashes);
   for (const w of newlyVoided) remaining.delete(w);
-  const ends = new Map(records.ends);
+  const ends = new Map(records.crashes);
   if (remaining.size > 0) ends.set(identity, remaining);
   else ends.delete(identity);
-  return { ends, voided };
+  return { crashes: ends, voided };
 }
 
 /** The records without those that have expired; the same object if none has. */
-export function lapse(records: Book, now: number): Book {
-  const isExpired = (at: number): boolean => now - at >= LAPSE_MS;
+export function expire(records: CrashRecords, now: number): CrashRecords {
+  const isExpired = (at: number): boolean => now - at >= EXPIRY_MS;
   const ends = new Map<string, ReadonlyMap<string, RecordedCrash>>();
   let dropped = 0;
-  for (const [identity, crashes] of records.ends) {
+  for (const [identity, crashes] of records.crashes) {
     const remaining = [...crashes].filter(([, e]) => !isExpired(e.at));
     dropped += crashes.size - remaining.length;
     if (remaining.length > 0) ends.set(identity, new Map(remaining));
   }
   const voided = new Map([...records.voided].filter(([, at]) => !isExpired(at)));
   if (dropped === 0 && voided.size === records.voided.size) return records;
-  return { ends, voided };
+  return { crashes: ends, voided };
 }
 
 /**
  * Whether a crash is attributed to another request that was on the worker, because that one has
  * more crashes than this one.
  */
-function isAttributedToOther(records: Book, crash: RecordedCrash, count: number): boolean {
-  for (const [identity, crashes] of records.ends) {
+function isAttributedToOther(records: CrashRecords, crash: RecordedCrash, count: number): boolean {
+  for (const [identity, crashes] of records.crashes) {
     if (identity !== crash.identity && crashes.size > count && crashes.has(crash.worker))
       return true;
   }
@@ -226,7 +226,7 @@
  * to the second such request in a row.
  */
 function unrelatedCrashTimes(
-  records: Book,
+  records: CrashRecords,
   ownCrashes: ReadonlyMap<string, RecordedCrash>,
 ): readonly number[] {
   const others = new Map<string, number>();
@@ -234,18 +234,18 @@
     const worker = workerOf(key);
     if (!ownCrashes.has(worker)) others.set(worker, at);
   }
-  for (const crashes of records.ends.values()) {
+  for (const crashes of records.crashes.values()) {
     for (const e of crashes.values()) if (!ownCrashes.has(e.worker)) others.set(e.worker, e.at);
   }
-  for (const crashes of records.ends.values()) {
-    if (crashes.size >= PROOFS) for (const worker of crashes.keys()) others.delete(worker);
+  for (const crashes of records.crashes.values()) {
+    if (crashes.size >= MIN_CRASHES) for (const worker of crashes.keys()) others.delete(worker);
   }
   return [...others.values()];
 }
 
 /** Probability that none of the counted crashes was caused by the request. */
 function chanceOfAll(
-  records: Book,
+  records: CrashRecords,
   ownCrashes: ReadonlyMap<string, RecordedCrash>,
   counted: readonly RecordedCrash[],
 ): number {
@@ -254,23 +254,23 @@
 }
 
 /** The verdict on a request. */
-export function judge(records: Book, identity: string, now: number): Verdict {
-  const ownCrashes = records.ends.get(identity);
+export function evaluate(records: CrashRecords, identity: string, now: number): Verdict {
+  const ownCrashes = records.crashes.get(identity);
   if (!ownCrashes) return FREE;
   const counted = [...ownCrashes.values()]
-    .filter((e) => now - e.at < LAPSE_MS && !isAttributedToOther(records, e, ownCrashes.size))
+    .filter((e) => now - e.at < EXPIRY_MS && !isAttributedToOther(records, e, ownCrashes.size))
     .sort((a, b) => b.at - a.at);
   if (counted.length === 0) return FREE;
   const workers = counted.map((e) => e.worker);
-  const last = counted[PROOFS - 1];
+  const last = counted[MIN_CRASHES - 1];
   if (!last || chanceOfAll(records, ownCrashes, counted) > MAX_CHANCE)
     return { kind: "suspected", workers };
-  return { kind: "quarantined", workers, releaseMs: last.at + LAPSE_MS - now };
+  return { kind: "quarantined", workers, releaseMs: last.at + EXPIRY_MS - now };
 }
 
 /** All records as news, for a newly connected host. */
-export function retold(records: Book, now: number): readonly News[] {
-  const ended = [...records.ends.values()].flatMap((crashes) =>
+export function snapshot(records: CrashRecords, now: number): readonly News[] {
+  const ended = [...records.crashes.values()].flatMap((crashes) =>
     [...crashes.values()].map(({ at, ...e }): News => ({
       kind: "ended",
       ...e,
--- a/src/serving/allowance.ts
+++ b/src/serving/token-balance.ts
@@ -17,15 +17,15 @@
 }
 
 /** Units left in a bucket at one moment; below 0 while the overdraft is in use. */
-export interface Allowance {
+export interface Balance {
   readonly level: number;
   /** Steady ms at which `level` was computed. */
   readonly at: number;
 }
 
 /** The result of drawing units for some requests, in order. */
-export interface Drawn {
-  readonly left: Allowance;
+export interface DrawResult {
+  readonly left: Balance;
   /** Number of requests admitted; they are the first ones of the list. */
   readonly granted: number;
   /** Milliseconds that each admitted request waits before it is sent. */
@@ -50,7 +50,7 @@
  * The bucket of an owner that has just taken over a cap: empty, with the overdraft counted as used
  * by the previous owner.
  */
-export function begun(now: number, overdraft: number): Allowance {
+export function initial(now: number, overdraft: number): Balance {
   return { level: -overdraft, at: now };
 }
 
@@ -59,7 +59,7 @@
 }
 
 /** A balance as the token bucket of an owner with `part` of the hosts. */
-function bucketOf(a: Allowance, cap: Cap, part: number): budget.Bucket {
+function bucketOf(a: Balance, cap: Cap, part: number): budget.Bucket {
   return { rate: cap.perS * part, size: bucketSize(cap, part), tokens: a.level, at: a.at };
 }
 
@@ -67,13 +67,13 @@
  * The balance at `now`, refilled at the rate for `part` of the hosts. Units above the bucket size
  * for that part are kept, so that hosts reconnecting all at once don't lose them.
  */
-export function flow(a: Allowance, cap: Cap, part: number, now: number): Allowance {
+export function refill(a: Balance, cap: Cap, part: number, now: number): Balance {
   const { tokens, at } = budget.fill(bucketOf(a, cap, part), now);
   return { level: Math.min(Math.max(a.level, tokens), bucketSize(cap, 1)), at };
 }
 
 /** A request to draw units. */
-export interface Wish {
+export interface DrawRequest {
   /** Units of each request, in the order in which they are to be admitted. */
   readonly wants: readonly number[];
   /** Milliseconds that a request may wait for future refill; the units are taken at once. */
@@ -87,12 +87,12 @@
  * served.
  */
 export function draw(
-  a: Allowance,
+  a: Balance,
   cap: Cap,
   part: number,
-  { wants, patienceMs }: Wish,
+  { wants, patienceMs }: DrawRequest,
   overdraft: number,
-): Drawn {
+): DrawResult {
   let left = a;
   const delaysMs: number[] = [];
   for (const [granted, units] of wants.entries()) {
@@ -120,6 +120,6 @@
 }
 
 /** Returns the units of a request that was admitted but did not run. */
-export function refund(a: Allowance, cap: Cap, units: number): Allowance {
+export function refund(a: Balance, cap: Cap, units: number): Balance {
   return { ...a, level: Math.min(bucketSize(cap, 1), a.level + units) };
 }
--- a/src/serving/worker-notices.ts
+++ b/src/serving/worker-notices.ts
@@ -47,13 +47,13 @@
   readonly log: record.Log;
   readonly limiter: limiter.Limiter;
   /** Sends a worker's announcements to the other entry daemons. */
-  readonly tell: (e: catalog.Endpoint, m: noticeMessages.Notice) => void;
+  readonly send: (e: catalog.Endpoint, m: noticeMessages.Notice) => void;
   /** Uniform random number from 0 up to, but not including, 1. */
   readonly random: () => number;
 }
 
 /** What one answer of a worker announces, and the request that it answers. */
-export interface Heard {
+export interface ObservedAnswer {
   readonly request: string;
   readonly notice: notices.Notice;
   /** Steady ms. */
@@ -68,7 +68,7 @@
   /** Whether the request may still be sent; checked right before sending. */
   readonly isGood: () => boolean;
   /** Returns the permit: the request was not sent. */
-  readonly giveBack: () => void;
+  readonly release: () => void;
 }
 
 /** The decision on sending one request to a worker. */
@@ -164,10 +164,10 @@
   }
 
   /** Records that a request is sent to an endpoint. */
-  sent(e: catalog.Endpoint): void {
+  recordSend(e: catalog.Endpoint): void {
     const known = this.workers.get(e.id);
     if (!known) return;
-    const announced = availability.sent(known.announced, this.deps.clock.steady());
+    const announced = availability.recordSend(known.announced, this.deps.clock.steady());
     this.workers.set(e.id, { ...known, announced });
   }
 
@@ -203,22 +203,22 @@
     const verdict = await this.deps.limiter.admit(total, 1, patienceMs);
     const now = this.deps.clock.mono();
     if (verdict.kind !== "in") {
-      this.limitedUntil.set(e.id, now + verdict.comeBackMs);
-      return { kind: "out", waitMs: verdict.comeBackMs };
+      this.limitedUntil.set(e.id, now + verdict.retryAfterMs);
+      return { kind: "out", waitMs: verdict.retryAfterMs };
     }
     const validUntil = now + verdict.delayMs + PERMIT_VALID_MS;
     return {
       kind: "in",
       delayMs: verdict.delayMs,
       isGood: () => this.deps.clock.mono() < validUntil && this.opensInMs(e) === 0,
-      giveBack: () => {
+      release: () => {
         this.deps.limiter.refund(total, 1);
       },
     };
   }
 
   /** Takes in an answer of a worker. */
-  heard(e: catalog.Endpoint, h: Heard): void {
+  observe(e: catalog.Endpoint, h: ObservedAnswer): void {
     this.logUnreadable(e, h);
     const now = this.deps.clock.steady();
     const before = this.announcedBy(e.id);
@@ -227,33 +227,35 @@
     this.update(e.id, after);
     const from = { request: h.request, sentMsAgo: Math.round(now - h.sentAt) };
     this.logChanges(e.id, before, after, from);
-    if (availability.isNews(before, after)) this.deps.tell(e, noticeMessages.of(e.id, after));
+    if (availability.shouldPropagate(before, after))
+      this.deps.send(e, noticeMessages.toMessage(e.id, after));
   }
 
   /** Takes in a worker's state as another entry daemon knows it. */
-  learn(m: noticeMessages.Notice, peer: string): void {
+  merge(m: noticeMessages.Notice, peer: string): void {
     const before = this.announcedBy(m.worker);
-    const news = noticeMessages.newsOf(m);
-    const after = availability.learn(before, news, this.deps.clock.steady());
+    const news = noticeMessages.toUpdate(m);
+    const after = availability.merge(before, news, this.deps.clock.steady());
     if (after === before) return;
     this.update(m.worker, after);
     this.logChanges(m.worker, before, after, { peer });
   }
 
   /** The known state of the workers that `isOf` selects, for a newly connected daemon. */
-  retold(isOf: (id: string) => boolean): readonly noticeMessages.Notice[] {
+  snapshot(isOf: (id: string) => boolean): readonly noticeMessages.Notice[] {
     return [...this.workers]
       .filter(
-        ([id, { announced }]) => availability.isNews(availability.UNKNOWN, announced) && isOf(id),
+        ([id, { announced }]) =>
+          availability.shouldPropagate(availability.UNKNOWN, announced) && isOf(id),
       )
-      .map(([id, { announced }]) => noticeMessages.of(id, announced));
+      .map(([id, { announced }]) => noticeMessages.toMessage(id, announced));
   }
 
   /**
    * Forgets workers that are no longer registered, after a while: reports about a worker may arrive
    * before its registration.
    */
-  keep(ids: ReadonlySet<string>): void {
+  retain(ids: ReadonlySet<string>): void {
     const now = this.deps.clock.steady();
     for (const [id, { heardAt }] of this.workers) {
       if (ids.has(id) || now - heardAt < UNREGISTERED_KEEP_MS) continue;
@@ -295,7 +297,7 @@
       kind: "in",
       delayMs: 0,
       isGood: () => this.of(e.id) === undefined && this.opensInMs(e) === 0,
-      giveBack: () => undefined,
+      release: () => undefined,
     };
   }
 
@@ -331,8 +333,11 @@
   }
 
   /** Logs announcements that can't be parsed, once per worker and kind of notice. */
-  private logUnreadable(e: catalog.Endpoint, h: Heard): void {
-    for (const [notice, said] of Object.entries(h.notice) as [string, notices.Said<unknown>][]) {
+  private logUnreadable(e: catalog.Endpoint, h: ObservedAnswer): void {
+    for (const [notice, said] of Object.entries(h.notice) as [
+      string,
+      notices.Announced<unknown>,
+    ][]) {
       if (said.kind !== "unreadable") continue;
       const logged = this.loggedUnreadable.get(e.id) ?? new Set();
       this.loggedUnreadable.set(e.id, logged);
--- a/test/platform/asking.ts
+++ b/test/platform/asking.ts
@@ -10,12 +10,12 @@
 const WAIT_MS = 3000;
 const MS_PER_S = 1000;
 
-export interface Wish {
+export interface RequestOptions {
   readonly id: string;
   /** Number of the entry host, modulo the number of entry hosts. */
   readonly entry: number;
   /** Path prefix of the route. */
-  readonly at: string;
+  readonly prefix: string;
   readonly body: string;
   /** Adapter; used on routes to engines only. */
   readonly adapter: string;
@@ -37,16 +37,16 @@
 }
 
 /** Sends one request; returns the status of its answer. */
-export async function ask(site: soak.Site, w: Wish): Promise<number> {
-  return (await answer(site, w)).status;
+export async function requestStatus(site: soak.Site, w: RequestOptions): Promise<number> {
+  return (await request(site, w)).status;
 }
 
 /** Sends one request; returns its answer. */
-export async function answer(site: soak.Site, w: Wish): Promise<Answer> {
+export async function request(site: soak.Site, w: RequestOptions): Promise<Answer> {
   const entry = site.entries[w.entry % site.entries.length];
-  const isStream = w.at === "/s/" || w.at === "/o/";
+  const isStream = w.prefix === "/s/" || w.prefix === "/o/";
   const sentAt = performance.now();
-  const res = await undici.request(`http://${entry?.callers}${w.at}x`, {
+  const res = await undici.request(`http://${entry?.callers}${w.prefix}x`, {
     method: "POST",
     headers: {
       host: "a.example",
--- a/test/platform/callers.test.ts
+++ b/test/platform/callers.test.ts
@@ -94,8 +94,8 @@
     clock: clock.system,
     log: record.silent,
     totals: () => caps.totals(current.config, 0),
-    places: () => [],
-    hosts: () => 1,
+    ownerCandidates: () => [],
+    hostCount: () => 1,
   });
   const teamCaps = new caps.Caps({ limiter: sharedLimiter, catalog: () => current, overdraft: 0 });
   const listener = await door.open("127.0.0.1:0");
--- a/test/platform/crashing.test.ts
+++ b/test/platform/crashing.test.ts
@@ -35,7 +35,7 @@
   const site = new soak.Site(size, MAIN, folder, (what) => faults.push(what));
 
   const ask = (id: string, entry: number, at: string, body: string): Promise<number> =>
-    asking.ask(site, { id, entry, at, body, adapter: "a1" });
+    asking.requestStatus(site, { id, entry, prefix: at, body, adapter: "a1" });
 
   /** Sends one request repeatedly, to the entry hosts in turn; returns the answers' statuses. */
   async function repeat(at: string, attempts: number): Promise<readonly number[]> {
--- a/test/platform/notices.test.ts
+++ b/test/platform/notices.test.ts
@@ -28,7 +28,13 @@
   let runs = 0;
 
   const ask = (id: string, n: number, at: string): Promise<asking.Answer> =>
-    asking.answer(site, { id, entry: n, at, body: "ordinary", adapter: `a${n % ADAPTERS}` });
+    asking.request(site, {
+      id,
+      entry: n,
+      prefix: at,
+      body: "ordinary",
+      adapter: `a${n % ADAPTERS}`,
+    });
 
   async function untilServed(at: string): Promise<void> {
     for (let n = 0, served = 0; served < 2 * ENTRIES; n++) {
--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -34,7 +34,13 @@
   const site = new soak.Site(size, MAIN, folder, (what) => faults.push(what));
 
   const ask = (id: string, n: number, at: string): Promise<number> =>
-    asking.ask(site, { id, entry: n, at, body: "ordinary", adapter: `a${n % ADAPTERS}` });
+    asking.requestStatus(site, {
+      id,
+      entry: n,
+      prefix: at,
+      body: "ordinary",
+      adapter: `a${n % ADAPTERS}`,
+    });
 
   async function untilServed(at: string): Promise<void> {
     for (let n = 0, served = 0; served < 2 * ENTRIES; n++) {
--- a/test/serving/named-limits.test.ts
+++ b/test/serving/announced-limit.test.ts
@@ -1,11 +1,11 @@
 import * as chai from "chai";
 import * as fc from "fast-check";
-import * as limits from "../../src/serving/named-limits.js";
+import * as limits from "../../src/serving/announced-limit.js";
 import type * as notices from "../../src/serving/notices.js";
 
 const { expect } = chai;
 
-type Said = notices.Said<number>;
+type Said = notices.Announced<number>;
 
 const saying = (value: number): Said => ({ kind: "said", value });
 const NONE: Said = { kind: "unsaid" };
@@ -60,15 +60,15 @@
   });
 
   it("is merged from other hosts' updates: the newer version, or the lower limit of equal versions", () => {
-    expect(limits.learn(undefined, { perS: 1, version: 7 }, 5)).deep.equal({
+    expect(limits.merge(undefined, { perS: 1, version: 7 }, 5)).deep.equal({
       perS: 1,
       version: 7,
       at: 5,
     });
-    expect(limits.learn(KNOWN, { version: 4 }, 200).perS).equal(undefined);
-    expect(limits.learn(KNOWN, { perS: 9, version: 2 }, 200)).equal(KNOWN);
-    expect(limits.learn(KNOWN, { perS: 1, version: 3 }, 200).perS).equal(1);
-    expect(limits.learn(KNOWN, { perS: 9, version: 3 }, 200)).equal(KNOWN);
+    expect(limits.merge(KNOWN, { version: 4 }, 200).perS).equal(undefined);
+    expect(limits.merge(KNOWN, { perS: 9, version: 2 }, 200)).equal(KNOWN);
+    expect(limits.merge(KNOWN, { perS: 1, version: 3 }, 200).perS).equal(1);
+    expect(limits.merge(KNOWN, { perS: 9, version: 3 }, 200)).equal(KNOWN);
   });
 
   it("is the same at hosts that received the same updates, in whatever order", () => {
@@ -78,8 +78,8 @@
     });
     fc.assert(
       fc.property(fc.array(news, { minLength: 1, maxLength: 6 }), (all) => {
-        const heard = (list: readonly limits.News[]): limits.Limit | undefined =>
-          list.reduce<limits.Limit | undefined>((k, n) => limits.learn(k, n, 0), undefined);
+        const heard = (list: readonly limits.Update[]): limits.Limit | undefined =>
+          list.reduce<limits.Limit | undefined>((k, n) => limits.merge(k, n, 0), undefined);
         expect(heard(all)?.perS).equal(heard([...all].reverse())?.perS);
       }),
     );
--- a/test/serving/availability.test.ts
+++ b/test/serving/availability.test.ts
@@ -8,7 +8,7 @@
 
 /** An answer that arrived at `at`, 10 ms after its request was sent. */
 function answer(at: number, said: Partial<notices.Notice>): availability.Answer {
-  return { notice: { ...notices.NOTHING, ...said }, sentAt: at - 10, at, ran: true };
+  return { notice: { ...notices.EMPTY, ...said }, sentAt: at - 10, at, ran: true };
 }
 
 const LEAVING: Partial<notices.Notice> = { leaving: { kind: "said", value: true } };
@@ -55,7 +55,7 @@
   it("opens for one request at a time after a pause, until one is answered without asking for another", () => {
     const known = after(answer(10, pausing(1000)));
     const until = known.pause?.until ?? 0;
-    const tried = availability.sent(known, until + 5);
+    const tried = availability.recordSend(known, until + 5);
     expect(availability.opensInMs(tried, until + 5)).within(100, 500);
     expect(availability.opensInMs(tried, until + 505)).equal(0);
     const again = availability.observe(tried, answer(until + 20, pausing(1000)));
@@ -98,9 +98,9 @@
   it("lead to the same state in whatever order and however often they arrive", () => {
     fc.assert(
       fc.property(fc.array(news, { minLength: 1, maxLength: 6 }), (all) => {
-        const heard = (list: readonly availability.News[]): unknown => {
+        const heard = (list: readonly availability.Update[]): unknown => {
           const start = availability.UNKNOWN;
-          const at = list.reduce((known, n) => availability.learn(known, n, 5), start);
+          const at = list.reduce((known, n) => availability.merge(known, n, 5), start);
           return [at.limit?.perS, at.limit?.version, at.leavingAt];
         };
         expect(heard([...all, ...all].reverse())).deep.equal(heard(all));
@@ -111,11 +111,11 @@
   it("are not sent again to a host that knows the whole state", () => {
     fc.assert(
       fc.property(news, news, (a, b) => {
-        const known = availability.learn(availability.learn(availability.UNKNOWN, a, 1), b, 2);
+        const known = availability.merge(availability.merge(availability.UNKNOWN, a, 1), b, 2);
         const { limit, leavingAt } = known;
-        const told: availability.News = { limit, leaving: leavingAt !== undefined };
-        expect(availability.isAhead(known, told)).equal(false);
-        expect(availability.learn(known, told, 3)).equal(known);
+        const told: availability.Update = { limit, leaving: leavingAt !== undefined };
+        expect(availability.hasMoreThan(known, told)).equal(false);
+        expect(availability.merge(known, told, 3)).equal(known);
       }),
     );
   });
--- a/test/serving/outbreak.test.ts
+++ b/test/serving/crash-simulation.test.ts
@@ -1,5 +1,5 @@
 import * as chai from "chai";
-import * as outbreak from "./outbreak.js";
+import * as crashSimulation from "./crash-simulation.js";
 
 const { expect } = chai;
 
@@ -8,31 +8,32 @@
 /** Number of sends later than the users' bound that the users accept. */
 const MAX_LATE = 3;
 
-const CASES: readonly (Omit<outbreak.Plan, "seed" | "hosts"> & { readonly name: string })[] = [
-  { name: "a calm fleet", workers: 30, fatalPerS: 3, ordinaryPerS: 60, endsPerS: 0 },
-  {
-    name: "workers that end once a second",
-    workers: 30,
-    fatalPerS: 3,
-    ordinaryPerS: 60,
-    endsPerS: 1,
-  },
-  {
-    name: "a failure domain that is lost",
-    workers: 30,
-    fatalPerS: 3,
-    ordinaryPerS: 60,
-    endsPerS: 0,
-    domainLostAt: 2500,
-  },
-  {
-    name: "no such request, workers that end",
-    workers: 30,
-    fatalPerS: 0,
-    ordinaryPerS: 60,
-    endsPerS: 1,
-  },
-];
+const CASES: readonly (Omit<crashSimulation.Plan, "seed" | "hosts"> & { readonly name: string })[] =
+  [
+    { name: "a calm fleet", workers: 30, fatalPerS: 3, ordinaryPerS: 60, crashesPerS: 0 },
+    {
+      name: "workers that end once a second",
+      workers: 30,
+      fatalPerS: 3,
+      ordinaryPerS: 60,
+      crashesPerS: 1,
+    },
+    {
+      name: "a failure domain that is lost",
+      workers: 30,
+      fatalPerS: 3,
+      ordinaryPerS: 60,
+      crashesPerS: 0,
+      domainLostAt: 2500,
+    },
+    {
+      name: "no such request, workers that end",
+      workers: 30,
+      fatalPerS: 0,
+      ordinaryPerS: 60,
+      crashesPerS: 1,
+    },
+  ];
 
 describe("a request that ends its workers, at any of many hosts", () => {
   for (const hosts of [30, 100, 300]) {
@@ -40,9 +41,9 @@
       it(`is stopped, and no other held for it: ${hosts} hosts, ${name}`, () => {
         let [ended, condemned, late] = [0, 0, 0];
         for (let seed = 1; seed <= SEEDS; seed++) {
-          const o = outbreak.play({ ...plan, seed, hosts });
+          const o = crashSimulation.simulate({ ...plan, seed, hosts });
           ended = Math.max(ended, o.ended);
-          condemned += o.condemned;
+          condemned += o.quarantined;
           late = Math.max(late, o.late);
         }
         expect(condemned).equal(0);
--- a/test/serving/outbreak.ts
+++ b/test/serving/crash-simulation.ts
@@ -18,7 +18,7 @@
   readonly fatalPerS: number;
   readonly ordinaryPerS: number;
   /** Workers per second that crash without that request. */
-  readonly endsPerS: number;
+  readonly crashesPerS: number;
   /** Milliseconds at which a third of the workers crash at once; undefined for never. */
   readonly domainLostAt?: number;
 }
@@ -36,7 +36,7 @@
   readonly ordinary: number;
   readonly served: number;
   /** Ordinary requests that some host quarantined. */
-  readonly condemned: number;
+  readonly quarantined: number;
 }
 
 /**
@@ -81,12 +81,12 @@
 }
 
 interface Host {
-  book: suspicion.Book;
+  book: suspicion.CrashRecords;
   readonly isCut: boolean;
 }
 
 /** Simulates one seed. */
-export function play(plan: Plan): Outcome {
+export function simulate(plan: Plan): Outcome {
   const rng = generators.xoroshiro128plus(plan.seed * 7919 + plan.hosts);
   const random = (): number => uniform.uniformFloat64(rng);
   for (let i = 0; i < 8; i++) random();
@@ -105,12 +105,12 @@
   });
   // If workers crash without the request, they did so before the start as well, and all hosts know
   // of it.
-  for (let n = 0; n < plan.endsPerS * HISTORY_S; n++) {
+  for (let n = 0; n < plan.crashesPerS * HISTORY_S; n++) {
     const identity = `h${n}`.padStart(22, "x");
     const past = { kind: "ended", identity, worker: `past-${n}`, underWayMs: 500 } as const;
-    const ageMs = (n * 1000) / plan.endsPerS;
+    const ageMs = (n * 1000) / plan.crashesPerS;
     for (const h of hosts)
-      h.book = suspicion.take(h.book, { ...past, peers: plan.workers, ageMs }, 0);
+      h.book = suspicion.apply(h.book, { ...past, peers: plan.workers, ageMs }, 0);
   }
   const crashTimes: number[] = [];
   const condemned = new Set<string>();
@@ -119,7 +119,7 @@
 
   const tell = (from: Host, news: suspicion.News): void => {
     const seenAt = now;
-    from.book = suspicion.take(from.book, news, now);
+    from.book = suspicion.apply(from.book, news, now);
     for (const h of hosts) {
       if (h === from) continue;
       const delays = Array.from({ length: RELAYS }, () =>
@@ -130,7 +130,7 @@
       if ((h.isCut || from.isCut) && now >= PARTITION_MS[0] && now < PARTITION_MS[1])
         ms += PARTITION_MS[1] - now;
       after(ms, () => {
-        h.book = suspicion.take(h.book, { ...news, ageMs: now - seenAt }, now);
+        h.book = suspicion.apply(h.book, { ...news, ageMs: now - seenAt }, now);
       });
     }
   };
@@ -175,13 +175,13 @@
         return;
       }
       w.running.delete(key);
-      const own = h.book.ends.get(id);
+      const own = h.book.crashes.get(id);
       if (own) tell(h, { kind: "ran", identity: id, workers: [...own.keys()], ageMs: 0 });
       onEnd(true);
     });
   };
   const isQuarantined = (h: Host, id: string): boolean =>
-    suspicion.judge(h.book, id, now).kind === "quarantined";
+    suspicion.evaluate(h.book, id, now).kind === "quarantined";
 
   const fatalArrival = (): void => {
     const h = pick(hosts);
@@ -225,11 +225,11 @@
   const spontaneousCrash = (): void => {
     const w = pick(workers.filter((x) => x.up));
     if (w) crash(w);
-    after(-Math.log(1 - random()) * (1000 / plan.endsPerS), spontaneousCrash);
+    after(-Math.log(1 - random()) * (1000 / plan.crashesPerS), spontaneousCrash);
   };
   after(1, ordinaryArrival);
   if (plan.fatalPerS > 0) after(1000, fatalArrival);
-  if (plan.endsPerS > 0) after(1, spontaneousCrash);
+  if (plan.crashesPerS > 0) after(1, spontaneousCrash);
   if (plan.domainLostAt !== undefined)
     after(plan.domainLostAt, () => {
       for (const w of workers.filter((_, i) => i % 3 === 0)) crash(w);
@@ -238,5 +238,5 @@
     now = e.at;
     e.run();
   }
-  return { ...tally, condemned: condemned.size };
+  return { ...tally, quarantined: condemned.size };
 }
--- a/test/serving/dispatcher-fixture.ts
+++ b/test/serving/dispatcher-fixture.ts
@@ -5,7 +5,7 @@
 import * as clock from "../../src/host/clock.js";
 import * as record from "../../src/host/record.js";
 import type * as authentication from "../../src/serving/authentication.js";
-import * as autopsy from "../../src/serving/autopsy.js";
+import * as crashCheck from "../../src/serving/crash-check.js";
 import type * as callerRequest from "../../src/serving/caller-request.js";
 import type * as catalog from "../../src/serving/catalog.js";
 import * as dispatch from "../../src/serving/dispatch.js";
@@ -46,12 +46,12 @@
       catalog: currentCatalog,
       daemonOf,
       onSuspicion: (m, peer) => {
-        suspectList.hear(m, peer);
+        suspectList.receive(m, peer);
       },
-      messagesOnConnect: () => suspectList.retold(),
+      messagesOnConnect: () => suspectList.snapshot(),
       random: () => 0,
       onNotice: (m, peer) => {
-        notices.learn(m, peer);
+        notices.merge(m, peer);
       },
       limitWaitMs: (id) => notices.waitMs(id),
       availableInMs: (e) => notices.opensInMs(e),
@@ -62,22 +62,22 @@
     clock: clk,
     log: record.silent,
     totals: () => notices.totals(),
-    places: (key, n) => known.ownerCandidates(key, n),
-    hosts: () => known.mostHosts() ?? 1,
+    ownerCandidates: (key, n) => known.ownerCandidates(key, n),
+    hostCount: () => known.mostHosts() ?? 1,
   });
   const notices = new workerNotices.WorkerNotices({
     clock: clk,
     log: record.silent,
     limiter: sharedLimiter,
-    tell: () => undefined,
+    send: () => undefined,
     random: () => 0,
   });
   const suspectList = new suspects.Suspects({
     clock: clk,
     log: record.silent,
     catalog: currentCatalog,
-    autopsy: new autopsy.Autopsy(clk),
-    tell: (key, m) => {
+    crashCheck: new crashCheck.CrashCheck(clk),
+    send: (key, m) => {
       known.relay(key, m);
     },
     claim: () => Promise.resolve(true),
--- a/test/serving/engines.ts
+++ b/test/serving/engines.ts
@@ -4,13 +4,13 @@
  */
 import * as clock from "../../src/host/clock.js";
 import * as record from "../../src/host/record.js";
-import * as limiterPlace from "../../src/serving/limiter-place.js";
+import * as limiterOwner from "../../src/serving/limiter-owner.js";
 import * as noticeRelay from "../../src/serving/notice-relay.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as desk from "../../src/serving/desk.js";
 import * as keeper from "../../src/serving/keeper.js";
 import type * as link from "../../src/serving/link.js";
-import * as relay from "../../src/serving/relay.js";
+import * as suspicionRelay from "../../src/serving/suspicion-relay.js";
 import * as ports from "../../bench/platform/ports.js";
 import * as fakes from "./fake-engine.js";
 import * as fixtures from "./fixtures.js";
@@ -73,12 +73,12 @@
   });
   const port = await ports.free();
   const address = `127.0.0.1:${port}`;
-  const suspicions = new relay.Relay({ clock: clock.system, log: record.silent });
+  const suspicions = new suspicionRelay.SuspicionRelay({ clock: clock.system, log: record.silent });
   const parts = {
     log: record.silent,
     keeper: manager,
     relay: suspicions,
-    limiter: new limiterPlace.LimiterPlace({ clock: clock.system, log: record.silent }),
+    limiter: new limiterOwner.LimiterOwner({ clock: clock.system, log: record.silent }),
     notices,
   };
   const open = () => desk.open(address, parts);
--- a/test/serving/fake-engine.ts
+++ b/test/serving/fake-engine.ts
@@ -37,7 +37,7 @@
   lingerMs = 0;
 
   /** Notice in its reports. */
-  notice = notices.NOTHING;
+  notice = notices.EMPTY;
 
   report = (): Promise<engine.Report> => {
     if (this.mood === "out") return Promise.reject(new Error("connection refused"));
--- a/test/serving/fixtures.ts
+++ b/test/serving/fixtures.ts
@@ -67,15 +67,15 @@
   isSigned: (h) => text(h["test-signed"]) !== undefined,
   notice: (status, h) => ({
     limit: number(h["test-limit"]),
-    leaving: text(h["test-leaving"]) === "1" ? { kind: "said", value: true } : notices.UNSAID,
-    retryAfterMs: status === 503 ? number(h["test-retry-after-ms"]) : notices.UNSAID,
+    leaving: text(h["test-leaving"]) === "1" ? { kind: "said", value: true } : notices.ABSENT,
+    retryAfterMs: status === 503 ? number(h["test-retry-after-ms"]) : notices.ABSENT,
   }),
   retryAfterHeaders: (ms) => ({ "retry-after": String(ms / 1000) }),
 };
 
-function number(value: string | readonly string[] | undefined): notices.Said<number> {
+function number(value: string | readonly string[] | undefined): notices.Announced<number> {
   const header = text(value);
-  if (header === undefined) return notices.UNSAID;
+  if (header === undefined) return notices.ABSENT;
   const n = Number(header);
   return Number.isNaN(n) ? { kind: "unreadable", text: header } : { kind: "said", value: n };
 }
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -114,7 +114,7 @@
   it("gets nothing once another host has reported that it leaves, even before it is registered", async () => {
     const [a, b] = [await worker(), await worker()];
     const made = open([fixtures.endpoint("w2", b.address)]);
-    made.notices.learn(leaving("w1"), "10.0.0.9:1");
+    made.notices.merge(leaving("w1"), "10.0.0.9:1");
     made.register(fixtures.endpoint("w1", a.address));
     for (let n = 0; n < 20; n++) await made.serve();
     expect([a.seen.arrivals, b.seen.arrivals]).deep.equal([0, 20]);
@@ -123,7 +123,7 @@
   it("is left at once by a request that waits for a seat there", async () => {
     const waits = await waitingStream.begin({ route: { targetMs: 1000, timeoutMs: 1500 } });
     const began = performance.now();
-    waits.notices.learn(leaving(waits.endpoint.id), "10.0.0.9:1");
+    waits.notices.merge(leaving(waits.endpoint.id), "10.0.0.9:1");
     await engines.until(() => waits.daemon.heard.includes("over"));
     expect(performance.now() - began).below(100);
     expect(await waits.ended()).include({ runs: 0 });
@@ -140,7 +140,7 @@
     const made = open([fixtures.endpoint("w1", slow.address)]);
     const served = made.serve();
     await timers.setTimeout(50);
-    made.notices.learn(leaving("w1"), "10.0.0.9:1");
+    made.notices.merge(leaving("w1"), "10.0.0.9:1");
     expect(await served).deep.equal(["answer 200"]);
   });
 });
--- a/test/serving/limited.test.ts
+++ b/test/serving/limited.test.ts
@@ -181,7 +181,7 @@
 });
 
 describe("the header that announces a limit", () => {
-  const read = (headers: Readonly<Record<string, string>>): notices.Said<number> =>
+  const read = (headers: Readonly<Record<string, string>>): notices.Announced<number> =>
     wire.PROTOCOL.notice(200, headers).limit;
 
   it("is a decimal number, with and without the platform's prefix", () => {
--- a/test/serving/notice-relay.test.ts
+++ b/test/serving/notice-relay.test.ts
@@ -37,8 +37,8 @@
 describe("a relay of worker notices", () => {
   it("sends news to all other daemons once, and later to those that connect", () => {
     const { relay, a, b } = open();
-    relay.hear(a.client, said(1, 1.4));
-    relay.hear(b.client, said(1, 1.4));
+    relay.receive(a.client, said(1, 1.4));
+    relay.receive(b.client, said(1, 1.4));
     expect([a.told, b.told]).deep.equal([[], [said(1, 1.4)]]);
     const late = entry("c");
     relay.join(late.client);
@@ -47,34 +47,34 @@
 
   it("replies with the newer limit to a daemon that reports an older one", () => {
     const { relay, a, b } = open();
-    relay.hear(a.client, said(3));
-    relay.hear(b.client, said(1, 2));
+    relay.receive(a.client, said(3));
+    relay.receive(b.client, said(1, 2));
     expect(b.told).deep.equal([said(3), said(3)]);
     expect(a.told).deep.equal([]);
   });
 
   it("merges a worker's limit from one host and its leaving from another", () => {
     const { relay, a, b } = open();
-    relay.hear(a.client, said(1, 1.4));
-    relay.hear(b.client, { kind: "notice", worker: "w1", leaving: true });
+    relay.receive(a.client, said(1, 1.4));
+    relay.receive(b.client, { kind: "notice", worker: "w1", leaving: true });
     const both = { ...said(1, 1.4), leaving: true };
     expect([a.told, b.told]).deep.equal([[both], [said(1, 1.4), both]]);
     expect(relay.isLeaving("w1")).equal(true);
-    relay.hear(a.client, said(2));
+    relay.receive(a.client, said(2));
     expect(b.told.at(-1)).deep.equal({ ...said(2), leaving: true });
   });
 
   it("sends nothing to a disconnected daemon", () => {
     const { relay, a, b } = open();
     relay.leave(b.client);
-    relay.hear(a.client, said(1, 1));
+    relay.receive(a.client, said(1, 1));
     expect(b.told).deep.equal([]);
   });
 
   it("keeps a bounded number of workers, those that changed last", () => {
     const { relay, a } = open();
     for (let n = 0; n < 5000; n++) {
-      relay.hear(a.client, { ...said(1, 1), worker: `w${n}` });
+      relay.receive(a.client, { ...said(1, 1), worker: `w${n}` });
     }
     const late = entry("c");
     relay.join(late.client);
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -161,7 +161,7 @@
   it("stop waiting for a seat there at once", async () => {
     const waits = await waitingStream.begin({ route: { targetMs: 1000, timeoutMs: 1500 } });
     const began = performance.now();
-    waits.notices.heard(waits.endpoint, {
+    waits.notices.observe(waits.endpoint, {
       request: "other",
       notice: fixtures.WIRE.notice(503, { "test-retry-after-ms": "3000" }),
       sentAt: began,
--- a/test/serving/quarantine.test.ts
+++ b/test/serving/quarantine.test.ts
@@ -1,7 +1,7 @@
 import type * as http from "node:http";
 import * as chai from "chai";
 import * as catalog from "../../src/serving/catalog.js";
-import * as hearsay from "../../src/serving/hearsay.js";
+import * as suspicionState from "../../src/serving/suspicion-state.js";
 import * as identity from "../../src/serving/identity.js";
 import * as quarantine from "../../src/serving/quarantine.js";
 import * as suspicion from "../../src/serving/suspicion.js";
@@ -70,7 +70,7 @@
 }
 
 /** A message of another host that workers crashed under a request. */
-function told(workers: readonly string[]): hearsay.Message {
+function told(workers: readonly string[]): suspicionState.Message {
   const id = identity.of(fixtures.request({ route: CALL }));
   const news = workers.map((worker): suspicion.News => {
     return { kind: "ended", identity: id, worker, underWayMs: 100, peers: 13, ageMs: 0 };
@@ -85,7 +85,7 @@
     written: () => undefined,
     deleted: () => undefined,
   };
-  const decoder = quarantine.decoding(inner);
+  const decoder = quarantine.wrapDecoder(inner);
   const key = quarantine.keyOf("some-identity");
 
   it("is known by its key in the store, whatever that holds, and released with it", () => {
@@ -109,11 +109,11 @@
 
   it("is refused at once after the third crash, as not run, until the crashes expire", async () => {
     const s = await site(WHOLE);
-    s.suspects.hear(told(["a", "b"]), "peer");
-    s.suspects.hear(told(["c"]), "another");
+    s.suspects.receive(told(["a", "b"]), "peer");
+    s.suspects.receive(told(["c"]), "another");
     const { seen, retryAfterMs } = await s.ask();
     expect(seen).deep.equal(["refuse 503"]);
-    expect(retryAfterMs).within(suspicion.LAPSE_MS - 1000, suspicion.LAPSE_MS);
+    expect(retryAfterMs).within(suspicion.EXPIRY_MS - 1000, suspicion.EXPIRY_MS);
     expect(s.runs()).equal(0);
     // Another request of the same caller is served.
     expect((await s.ask({ path: "/c/other" })).seen).deep.equal(["answer 200"]);
--- a/test/serving/suspicion.test.ts
+++ b/test/serving/suspicion.test.ts
@@ -2,8 +2,8 @@
 import * as fc from "fast-check";
 import * as record from "../../src/host/record.js";
 import type * as clock from "../../src/host/clock.js";
-import * as hearsay from "../../src/serving/hearsay.js";
-import * as relay from "../../src/serving/relay.js";
+import * as suspicionState from "../../src/serving/suspicion-state.js";
+import * as suspicionRelay from "../../src/serving/suspicion-relay.js";
 import type * as seat from "../../src/serving/seat.js";
 import * as suspicion from "../../src/serving/suspicion.js";
 
@@ -24,16 +24,16 @@
   return { kind: "ran", identity: id(identity), workers: workers.map(worker), ageMs: 0 };
 }
 
-function recordsOf(all: readonly suspicion.News[], now = 0): suspicion.Book {
-  return all.reduce((records, n) => suspicion.take(records, n, now), suspicion.EMPTY);
+function recordsOf(all: readonly suspicion.News[], now = 0): suspicion.CrashRecords {
+  return all.reduce((records, n) => suspicion.apply(records, n, now), suspicion.EMPTY);
 }
 
-const kindOf = (records: suspicion.Book, identity: number, now = 0): string =>
-  suspicion.judge(records, id(identity), now).kind;
+const kindOf = (records: suspicion.CrashRecords, identity: number, now = 0): string =>
+  suspicion.evaluate(records, id(identity), now).kind;
 
 /** The content of records, independent of the order in which they were reported. */
-function contentOf(records: suspicion.Book): unknown {
-  const ends = [...records.ends].map(([i, own]) => [
+function contentOf(records: suspicion.CrashRecords): unknown {
+  const ends = [...records.crashes].map(([i, own]) => [
     i,
     [...own.values()].map((e) => [e.worker, e.underWayMs]).sort(),
   ]);
@@ -142,12 +142,12 @@
 
   it("expires by the age of the crashes, not by when they were reported", () => {
     const records = recordsOf([ended(1, 1), ended(1, 2), ended(1, 3, { ageMs: 1000 })], 1000);
-    const verdict = suspicion.judge(records, id(1), 1000);
-    expect(verdict).include({ kind: "quarantined", releaseMs: suspicion.LAPSE_MS - 1000 });
-    expect(kindOf(records, 1, suspicion.LAPSE_MS)).equal("suspected");
-    expect(suspicion.lapse(records, 1000 + suspicion.LAPSE_MS).ends.size).equal(0);
-    const late = ended(1, 4, { ageMs: suspicion.LAPSE_MS });
-    expect(suspicion.take(records, late, 1000)).equal(records);
+    const verdict = suspicion.evaluate(records, id(1), 1000);
+    expect(verdict).include({ kind: "quarantined", releaseMs: suspicion.EXPIRY_MS - 1000 });
+    expect(kindOf(records, 1, suspicion.EXPIRY_MS)).equal("suspected");
+    expect(suspicion.expire(records, 1000 + suspicion.EXPIRY_MS).crashes.size).equal(0);
+    const late = ended(1, 4, { ageMs: suspicion.EXPIRY_MS });
+    expect(suspicion.apply(records, late, 1000)).equal(records);
   });
 
   it("keeps a bounded number of requests, evicting those with the most crashes last", () => {
@@ -155,7 +155,7 @@
     const worst = [1, 2, 3].map((w) => ended(1, w, { ageMs: before }));
     const many = Array.from({ length: 3000 }, (_, n) => ended(1000 + n, 1000 + n));
     const records = recordsOf([...worst, ...many], now);
-    expect(records.ends.size).most(1024);
+    expect(records.crashes.size).most(1024);
     expect(kindOf(records, 1, now)).equal("quarantined");
   });
 });
@@ -166,18 +166,18 @@
     const log: record.Log = { ...record.silent, error: (sentence) => lines.push(sentence) };
     fc.assert(
       fc.property(fc.oneof(fc.anything(), fc.array(fc.object())), (news) => {
-        const at = new hearsay.Hearsay({ clock: still(), log });
-        const heard = at.hear({ kind: "suspicion", news }, "peer");
+        const at = new suspicionState.SuspicionState({ clock: still(), log });
+        const heard = at.receive({ kind: "suspicion", news }, "peer");
         expect(heard).deep.equal([]);
-        expect(at.isQuiet).equal(true);
-        expect(at.refused).equal(Array.isArray(news) && news.length === 0 ? 0 : 1);
+        expect(at.isEmpty).equal(true);
+        expect(at.unreadableCount).equal(Array.isArray(news) && news.length === 0 ? 0 : 1);
       }),
     );
     expect(lines.length).above(0);
   });
 
   it("are rejected as a whole if one piece is invalid or there are too many", () => {
-    const at = new hearsay.Hearsay({ clock: still(), log: record.silent });
+    const at = new suspicionState.SuspicionState({ clock: still(), log: record.silent });
     const good = ended(1, 1);
     const bad: readonly unknown[] = [
       [good, { ...good, identity: "short" }],
@@ -186,10 +186,10 @@
       [good, { ...good, worker: "w".repeat(1000) }],
       Array.from({ length: 65 }, () => good),
     ];
-    for (const news of bad) at.hear({ kind: "suspicion", news }, "peer");
-    expect([at.refused, at.isQuiet]).deep.equal([bad.length, true]);
-    at.hear({ kind: "suspicion", news: [good] }, "peer");
-    expect(at.isQuiet).equal(false);
+    for (const news of bad) at.receive({ kind: "suspicion", news }, "peer");
+    expect([at.unreadableCount, at.isEmpty]).deep.equal([bad.length, true]);
+    at.receive({ kind: "suspicion", news: [good] }, "peer");
+    expect(at.isEmpty).equal(false);
   });
 
   it("goes through a relay to all others once, and to those that come later", () => {
@@ -199,12 +199,12 @@
       told.set(host, got);
       return { host, send: (m: seat.FromEndpoint) => got.push(m), sendLine: () => undefined };
     };
-    const at = new relay.Relay({ clock: still(), log: record.silent });
+    const at = new suspicionRelay.SuspicionRelay({ clock: still(), log: record.silent });
     const [a, b, gone] = [client("a"), client("b"), client("gone")];
     for (const c of [a, b, gone]) at.join(c);
     at.leave(gone);
-    const [m] = hearsay.messages([ended(1, 1)]);
-    if (m) for (const from of [a, b, a]) at.hear(from, m);
+    const [m] = suspicionState.messages([ended(1, 1)]);
+    if (m) for (const from of [a, b, a]) at.receive(from, m);
     at.join(client("late"));
     const counts = [...told].map(([host, got]) => `${host} ${got.length}`);
     expect(counts).deep.equal(["a 0", "b 1", "gone 0", "late 1"]);
