--- a/bench/caps/wire.ts
+++ b/bench/caps/wire.ts
@@ -5,7 +5,7 @@
  */
 import type * as announcer from "../../src/serving/announcer.js";
 import type * as limiter from "../../src/serving/limiter.js";
-import type * as seat from "../../src/serving/seat.js";
+import type * as seatMessages from "../../src/serving/seat-messages.js";
 import type * as time from "../measure/time.js";
 
 /** Milliseconds that a message takes, and after which a silent place is given up. */
@@ -16,13 +16,13 @@
 export interface Place {
   readonly join: (c: announcer.Client) => void;
   readonly leave: (c: announcer.Client) => void;
-  readonly hear: (c: announcer.Client, m: seat.FromEntry) => void;
+  readonly hear: (c: announcer.Client, m: seatMessages.FromEntry) => void;
 }
 
 /** An entry daemon, as far as totals are concerned. */
 export interface Host {
-  readonly greeting: (address: string) => readonly seat.FromEntry[];
-  readonly hear: (m: seat.FromEndpoint, address: string) => void;
+  readonly greeting: (address: string) => readonly seatMessages.FromEntry[];
+  readonly hear: (m: seatMessages.FromEndpoint, address: string) => void;
 }
 
 /** What a connection is between. */
@@ -47,7 +47,7 @@
   private isAwaited = false;
   private held: (() => void)[] = [];
   private next = 0;
-  private readonly asked = new Map<number, (a: seat.FromEndpoint | undefined) => void>();
+  private readonly asked = new Map<number, (a: seatMessages.FromEndpoint | undefined) => void>();
 
   constructor(private readonly ends: Ends) {
     this.address = ends.address;
@@ -104,7 +104,7 @@
     else this.ends.clk.after(WAY_MS, run);
   }
 
-  send = (m: seat.FromEntry): void => {
+  send = (m: seatMessages.FromEntry): void => {
     const { client } = this;
     if (!client) return;
     this.cross(() => {
@@ -115,7 +115,7 @@
   draw: limiter.Owner["draw"] = (key, wish) => {
     const n = this.next++;
     return new Promise((resolve) => {
-      const settle = (a: seat.FromEndpoint | undefined): void => {
+      const settle = (a: seatMessages.FromEndpoint | undefined): void => {
         this.asked.delete(n);
         resolve(a?.kind === "drawn" ? a : undefined);
       };
--- a/src/serving/announcer.ts
+++ b/src/serving/announcer.ts
@@ -5,9 +5,9 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import * as lines from "./lines.js";
-import type * as listing from "./listing.js";
-import type * as seat from "./seat.js";
+import * as jsonLines from "./json-lines.js";
+import type * as engineView from "./engine-view.js";
+import type * as seatMessages from "./seat-messages.js";
 
 /** Minimum ms between two rounds of announcements, so that many changes are sent in one message. */
 const ROUND_MS = 20;
@@ -30,7 +30,7 @@
 export interface Client {
   /** Name of its host, with the number of the connection. */
   readonly host: string;
-  readonly send: (m: seat.FromEndpoint) => void;
+  readonly send: (m: seatMessages.FromEndpoint) => void;
   /** Sends messages that are already encoded. */
   readonly sendLine: (line: string) => void;
 }
@@ -73,55 +73,55 @@
 
   constructor(
     private readonly clk: clock.Clock,
-    private readonly state: (silenceMs: number) => seat.State,
-    private readonly holdings: () => listing.Holdings,
+    private readonly state: (silenceMs: number) => seatMessages.State,
+    private readonly holdings: () => engineView.Holdings,
     /** Adapters that are probably in the memory of the engine's host, the latest first. */
     private readonly recent: () => readonly string[],
   ) {}
 
   /** Number of connected entry daemons. */
-  count(): number {
+  clientCount(): number {
     return this.clients.size;
   }
 
   join(c: Client): void {
     this.clients.set(c, NOTHING_SENT);
-    this.changed();
+    this.stateChanged();
   }
 
   leave(c: Client): void {
     this.clients.delete(c);
-    this.changed();
+    this.stateChanged();
   }
 
   /** Sends an entry daemon an announcement in the next round; called when it has asked for a seat. */
-  asked(c: Client): void {
+  announceSoon(c: Client): void {
     const sent = this.clients.get(c);
     if (sent) this.clients.set(c, { ...sent, soon: true });
-    this.changed();
+    this.stateChanged();
   }
 
   /** Records a change of the state or the holdings, and schedules its announcement. */
-  changed(): void {
+  stateChanged(): void {
     this.changes++;
     this.schedule();
   }
 
   /** Sends all entry daemons an announcement in the next round; called when the engine came up or went down. */
-  changedMuch(): void {
+  announceSoonToAll(): void {
     for (const [c, sent] of this.clients) this.clients.set(c, { ...sent, soon: true });
-    this.changed();
+    this.stateChanged();
   }
 
   /** Records that an adapter is in no slot any more. */
-  departed(key: string): void {
+  adapterLeft(key: string): void {
     this.heldChanges++;
     const departure = { key, held: this.heldChanges };
     this.departures = [...this.departures.slice(1 - MAX_DEPARTURES), departure];
   }
 
   /** Sends one entry daemon the current state, and the holdings if they changed, at once. */
-  tell(c: Client): void {
+  announceNow(c: Client): void {
     const sent = this.clients.get(c);
     if (sent) this.announce(c, sent, this.compose());
   }
@@ -193,12 +193,12 @@
   /** Encodes the current state and holdings. */
   private compose(): Announcement {
     const held = this.holdings();
-    const heldText = lines.encode(held);
+    const heldText = jsonLines.encode(held);
     if (heldText !== this.heldText) {
       this.heldText = heldText;
       this.heldChanges++;
     }
-    return { held, heldLines: new Map(), state: lines.encode(this.state(this.silenceMs())) };
+    return { held, heldLines: new Map(), state: jsonLines.encode(this.state(this.silenceMs())) };
   }
 
   private announce(c: Client, sent: Sent, announcement: Announcement): void {
@@ -218,7 +218,7 @@
         ? [...this.recent()].reverse()
         : this.departures.filter((d) => d.held > since).map((d) => d.key);
     const gone = [...new Set(departed)].filter((key) => !announcement.held.resident.includes(key));
-    const line = lines.encode({ ...announcement.held, gone });
+    const line = jsonLines.encode({ ...announcement.held, gone });
     announcement.heldLines.set(since, line);
     return line;
   }
@@ -226,7 +226,7 @@
 
 /** The content of one round of announcements. */
 interface Announcement {
-  readonly held: listing.Holdings;
+  readonly held: engineView.Holdings;
   /** Encoded holdings messages, by the counter of changes that their receivers have. */
   readonly heldLines: Map<number, string>;
   readonly state: string;
--- a/src/serving/backlog.ts
+++ b/src/serving/backlog.ts
@@ -4,41 +4,45 @@
  * arrival, whatever their rank, so all requests with a granted seat come before those that wait for one. Pure.
  * @module
  */
-import * as reading from "./reading.js";
+import * as prefillSpeed from "./prefill-speed.js";
 
 /** The load of one seat that is asked for or granted. */
-export interface Load {
+export interface SeatLoad {
   readonly tokens: number;
   readonly rank: number;
   /** Monotonic ms at which the seat was granted; undefined until then. */
-  readonly givenAt: number | undefined;
+  readonly grantedAt: number | undefined;
   /** Prompt tokens that the engine had to read before its first event when it was granted, its own included. */
-  readonly toRead: number;
+  readonly tokensUntilFirst: number;
   /** Whether its first event has come. */
-  readonly began: boolean;
+  readonly hasBegun: boolean;
 }
 
 export interface Backlog {
-  readonly loads: ReadonlyMap<string, Load>;
-  readonly reading: reading.Reading;
+  readonly loads: ReadonlyMap<string, SeatLoad>;
+  readonly speed: prefillSpeed.PrefillSpeed;
   /** Estimated monotonic ms at which the engine has read all prompts whose seats are granted. */
-  readonly readUntil: number;
+  readonly prefillUntil: number;
 }
 
 /** Number of ranks that are distinguished; larger ones count as the last. */
-export const RANKS = 10;
+export const RANK_COUNT = 10;
 
 /** The backlog of an engine that no seat is asked for on. */
-export const IDLE: Backlog = { loads: new Map(), reading: reading.UNKNOWN, readUntil: -Infinity };
+export const EMPTY: Backlog = {
+  loads: new Map(),
+  speed: prefillSpeed.INITIAL,
+  prefillUntil: -Infinity,
+};
 
 /** Index of a rank among those that are distinguished, 0 to {@link RANK_COUNT} - 1. */
-export function place(rank: number): number {
-  return Math.min(RANKS - 1, Math.max(0, Math.round(rank)));
+export function rankIndex(rank: number): number {
+  return Math.min(RANK_COUNT - 1, Math.max(0, Math.round(rank)));
 }
 
 /** Estimated ms that the engine needs to read the prompts whose seats are granted. */
-export function readingMs(b: Backlog, now: number): number {
-  return Math.max(0, b.readUntil - now);
+export function prefillMs(b: Backlog, now: number): number {
+  return Math.max(0, b.prefillUntil - now);
 }
 
 /**
@@ -48,22 +52,23 @@
 const FIRST_EVENT_TIMEOUT_MS = 1500;
 
 /** Number of requests whose seats were granted lately and that have no first event yet. */
-export function unbegun(b: Backlog, now: number): number {
+export function unstarted(b: Backlog, now: number): number {
   let n = 0;
   for (const l of b.loads.values()) {
-    if (l.givenAt !== undefined && !l.began && now - l.givenAt < FIRST_EVENT_TIMEOUT_MS) n++;
+    if (l.grantedAt !== undefined && !l.hasBegun && now - l.grantedAt < FIRST_EVENT_TIMEOUT_MS) n++;
   }
   return n;
 }
 
 /** Estimated ms until the engine starts to read a prompt that arrives now, by rank, rounded. */
-export function waits(b: Backlog, now: number): readonly number[] {
-  const tokens = new Array<number>(RANKS).fill(0);
+export function waitsByRank(b: Backlog, now: number): readonly number[] {
+  const tokens = new Array<number>(RANK_COUNT).fill(0);
   for (const l of b.loads.values()) {
-    if (l.givenAt === undefined) tokens[place(l.rank)] = (tokens[place(l.rank)] ?? 0) + l.tokens;
+    if (l.grantedAt === undefined)
+      tokens[rankIndex(l.rank)] = (tokens[rankIndex(l.rank)] ?? 0) + l.tokens;
   }
-  const perToken = reading.msPerToken(b.reading);
-  let sum = readingMs(b, now);
+  const perToken = prefillSpeed.msPerToken(b.speed);
+  let sum = prefillMs(b, now);
   return tokens.map((t) => {
     sum += t * perToken;
     return Math.round(sum);
@@ -71,46 +76,60 @@
 }
 
 /** Adds a seat that is asked for. */
-export function asked(b: Backlog, seat: string, tokens: number, rank: number): Backlog {
-  return put(b, seat, { tokens, rank, givenAt: undefined, toRead: tokens, began: false });
+export function addSeat(b: Backlog, seat: string, tokens: number, rank: number): Backlog {
+  return put(b, seat, {
+    tokens,
+    rank,
+    grantedAt: undefined,
+    tokensUntilFirst: tokens,
+    hasBegun: false,
+  });
 }
 
 /** Marks a seat as granted at `now`, and stores the tokens to be read until its first event. */
-export function given(b: Backlog, seat: string, now: number): Backlog {
+export function grantSeat(b: Backlog, seat: string, now: number): Backlog {
   const l = b.loads.get(seat);
   if (!l) return b;
-  const perToken = reading.msPerToken(b.reading);
-  const toRead = l.tokens + readingMs(b, now) / perToken;
-  return { ...put(b, seat, { ...l, givenAt: now, toRead }), readUntil: now + toRead * perToken };
+  const perToken = prefillSpeed.msPerToken(b.speed);
+  const toRead = l.tokens + prefillMs(b, now) / perToken;
+  return {
+    ...put(b, seat, { ...l, grantedAt: now, tokensUntilFirst: toRead }),
+    prefillUntil: now + toRead * perToken,
+  };
 }
 
 /** Records that the first event of a run came, `ms` after its request was sent. */
-export function began(b: Backlog, seat: string, ms: number, now: number): Backlog {
+export function recordFirstEvent(b: Backlog, seat: string, ms: number, now: number): Backlog {
   const l = b.loads.get(seat);
-  if (!l || l.began) return b;
-  const updated = reading.seen(b.reading, l.toRead, ms);
-  const next = { ...put(b, seat, { ...l, began: true }), reading: updated };
+  if (!l || l.hasBegun) return b;
+  const updated = prefillSpeed.withRun(b.speed, l.tokensUntilFirst, ms);
+  const next = { ...put(b, seat, { ...l, hasBegun: true }), speed: updated };
   // The engine finished this prompt `firstMs` before the first event; it reads the other granted ones after it.
   let tokens = 0;
   for (const other of next.loads.values()) {
-    if (other.givenAt === undefined || other.began || now - other.givenAt >= FIRST_EVENT_TIMEOUT_MS)
+    if (
+      other.grantedAt === undefined ||
+      other.hasBegun ||
+      now - other.grantedAt >= FIRST_EVENT_TIMEOUT_MS
+    )
       continue;
     tokens += other.tokens;
   }
-  const readUntil = now - reading.firstMs(updated) + tokens * reading.msPerToken(updated);
-  return { ...next, readUntil };
+  const readUntil = now - prefillSpeed.firstMs(updated) + tokens * prefillSpeed.msPerToken(updated);
+  return { ...next, prefillUntil: readUntil };
 }
 
 /** Removes a seat that ended; a prompt that the engine has not read yet no longer counts. */
-export function over(b: Backlog, seat: string): Backlog {
+export function removeSeat(b: Backlog, seat: string): Backlog {
   const l = b.loads.get(seat);
   if (!l) return b;
   const loads = new Map(b.loads);
   loads.delete(seat);
-  const unread = l.givenAt !== undefined && !l.began ? l.tokens * reading.msPerToken(b.reading) : 0;
-  return { ...b, loads, readUntil: b.readUntil - unread };
+  const unread =
+    l.grantedAt !== undefined && !l.hasBegun ? l.tokens * prefillSpeed.msPerToken(b.speed) : 0;
+  return { ...b, loads, prefillUntil: b.prefillUntil - unread };
 }
 
-function put(b: Backlog, seat: string, l: Load): Backlog {
+function put(b: Backlog, seat: string, l: SeatLoad): Backlog {
   return { ...b, loads: new Map(b.loads).set(seat, l) };
 }
--- a/src/serving/base-model.ts
+++ b/src/serving/base-model-loader.ts
@@ -6,14 +6,14 @@
 
 type Model = catalog.EngineSpec["models"][number];
 
-export class BaseModel {
+export class BaseModelLoader {
   /** Monotonic ms of the last order to load a base model. */
   private orderedAt = -Infinity;
   /** Base models that the engine can load from its own memory or disk. */
   private localModels: readonly string[] = [];
 
   /** Sets the base models that the engine can load without the weight store, as it reports. */
-  heard(localModels: readonly string[]): void {
+  setLocalModels(localModels: readonly string[]): void {
     this.localModels = localModels;
   }
 
@@ -21,7 +21,7 @@
    * Returns the model to load at `now` (monotonic ms); undefined if the engine holds one, if none is
    * configured, or while the last order may still be in progress.
    */
-  wanted(
+  modelToLoad(
     spec: catalog.EngineSpec | undefined,
     held: readonly string[],
     now: number,
@@ -37,7 +37,7 @@
   }
 
   /** Records that a load was ordered at `now` (monotonic ms). */
-  asked(now: number): void {
+  recordLoadOrder(now: number): void {
     this.orderedAt = now;
   }
 }
--- a/src/serving/choice.ts
+++ b/src/serving/choice.ts
@@ -5,8 +5,8 @@
 import * as admission from "./admission.js";
 import * as backlog from "./backlog.js";
 import type * as catalog from "./catalog.js";
-import * as reading from "./reading.js";
-import type * as seat from "./seat.js";
+import * as prefillSpeed from "./prefill-speed.js";
+import type * as seatMessages from "./seat-messages.js";
 
 /** The models and adapters of an engine, as last reported to an entry daemon. */
 export interface Holdings {
@@ -21,7 +21,7 @@
 export interface View {
   readonly endpoint: catalog.Endpoint;
   /** The last state that its endpoint daemon sent; undefined while that daemon is not connected or is unresponsive. */
-  readonly state: seat.State | undefined;
+  readonly state: seatMessages.State | undefined;
   /** The last holdings that its endpoint daemon sent. */
   readonly holdings: Holdings | undefined;
   /** Number of this host's requests in flight there. */
@@ -99,7 +99,7 @@
 function estimateWithoutState(view: View, need: Need, basePenaltyMs: number): Estimate {
   const usable =
     view.holdings?.models.includes(need.model) && adapterState(view, need.key) === "resident";
-  const idleMs = reading.expectedMs(reading.UNKNOWN, need.promptTokens);
+  const idleMs = prefillSpeed.firstEventMs(prefillSpeed.INITIAL, need.promptTokens);
   return {
     view,
     firstMs: usable ? idleMs : Infinity,
@@ -145,8 +145,8 @@
  */
 const WAIT_HALF_LIFE_MS = 500;
 
-function reportedWaitMs(state: seat.State, rank: number): number {
-  return state.waitMs[backlog.place(rank)] ?? 0;
+function reportedWaitMs(state: seatMessages.State, rank: number): number {
+  return state.waitMs[backlog.rankIndex(rank)] ?? 0;
 }
 
 function meanWaitMsOf(views: readonly View[], rank: number): number {
--- a/src/serving/diversion.ts
+++ b/src/serving/diversion.ts
@@ -11,7 +11,7 @@
  */
 
 /** Estimated times of a request on an engine, in ms. */
-export interface Standing {
+export interface WaitEstimate {
   /** From now until the engine would start to read its prompt. */
   readonly waitMs: number;
   /** From the start of reading its prompt until its first event. */
@@ -24,7 +24,7 @@
 const ACCEPTED_WAIT_MS = 20;
 
 /** Whether a request would be late here, but would be on time on an engine without a queue. */
-export function isDiverted(s: Standing): boolean {
+export function isDiverted(s: WaitEstimate): boolean {
   if (s.waitMs <= ACCEPTED_WAIT_MS) return false;
   return s.ownMs <= s.targetMs && s.waitMs + s.ownMs > s.targetMs;
 }
--- a/src/serving/endpoint-host.ts
+++ b/src/serving/endpoint-daemon.ts
@@ -6,11 +6,11 @@
 import * as clock from "../host/clock.js";
 import * as errors from "../host/why.js";
 import type * as record from "../host/record.js";
-import * as desk from "./desk.js";
+import * as seatServer from "./seat-server.js";
 import type * as engine from "./engine.js";
 import * as feed from "./feed.js";
 import * as host from "./host.js";
-import * as keeper from "./keeper.js";
+import * as engineManager from "./engine-manager.js";
 import * as limiterOwner from "./limiter-owner.js";
 import * as noticeRelay from "./notice-relay.js";
 import * as meters from "./meters.js";
@@ -18,7 +18,7 @@
 
 export interface Options {
   /** `ip:port` to listen at for entry daemons. */
-  readonly seats: string;
+  readonly seatsAddress: string;
   /** Name of the service that the engine belongs to. */
   readonly service: string;
   /** Milliseconds after its declaration from which a version must be the only one in use. */
@@ -46,12 +46,12 @@
   const registry = meters.open();
   const lg = deps.log("keeper");
   const notices = new noticeRelay.NoticeRelay(deps.clock, () => {
-    manager.noticed();
+    manager.noticesChanged();
   });
   const fed = host.openFeed(deps, feed.LOOSE, () => {
-    manager.heard();
+    manager.catalogChanged();
   });
-  const manager = new keeper.Keeper({
+  const manager = new engineManager.EngineManager({
     clock: deps.clock,
     log: lg,
     engine: deps.engine,
@@ -62,15 +62,15 @@
     notices,
   });
   const limiter = new limiterOwner.LimiterOwner({ clock: deps.clock, log: deps.log("limiter") });
-  const server = await desk.open(opts.seats, {
+  const server = await seatServer.listen(opts.seatsAddress, {
     log: deps.log("desk"),
-    keeper: manager,
+    engineManager: manager,
     relay: new suspicionRelay.SuspicionRelay({ clock: deps.clock, log: deps.log("suspicion") }),
     limiter,
     notices,
   });
   await meters.tryServe(registry, deps.metricsAddress, deps.log("metrics"));
-  registry.gauge("sumacfield_seats", "Seats given or asked for.", () => manager.count());
+  registry.gauge("sumacfield_seats", "Seats given or asked for.", () => manager.seatCount());
   registry.gauge("sumacfield_totals_kept", "Totals over all hosts kept here.", () => limiter.size);
   void fed.run();
   void waitForConfig(deps, fed).then(() => manager.run());
--- a/src/serving/keeper.ts
+++ b/src/serving/engine-manager.ts
@@ -10,22 +10,22 @@
 import * as waker from "../host/waker.js";
 import * as announcer from "./announcer.js";
 import * as backlog from "./backlog.js";
-import * as baseModel from "./base-model.js";
+import * as baseModelLoader from "./base-model-loader.js";
 import * as catalog from "./catalog.js";
 import * as diversion from "./diversion.js";
 import type * as engine from "./engine.js";
 import * as incarnation from "./incarnation.js";
-import * as ledger from "./ledger.js";
-import * as listing from "./listing.js";
+import * as seatTable from "./seat-table.js";
+import * as engineView from "./engine-view.js";
 import * as probe from "./probe.js";
-import * as reading from "./reading.js";
+import * as prefillSpeed from "./prefill-speed.js";
 import type * as noticeRelay from "./notice-relay.js";
-import * as orders from "./orders.js";
+import * as orderSender from "./order-sender.js";
 import * as residency from "./residency.js";
-import type * as seat from "./seat.js";
+import type * as seatMessages from "./seat-messages.js";
 import * as slotOptions from "./slot-options.js";
-import * as waiting from "./waiting.js";
-import * as warmth from "./warmth.js";
+import * as seatQueue from "./seat-queue.js";
+import * as loadHistory from "./load-history.js";
 
 export interface Deps {
   readonly clock: clock.Clock;
@@ -47,15 +47,15 @@
 }
 
 /** Runs the engine on this host and serves the seats that entry daemons ask for. */
-export class Keeper {
+export class EngineManager {
   private state = residency.empty();
-  private readonly seatTable = new ledger.Ledger();
+  private readonly seatTable = new seatTable.SeatTable();
   private readonly announcer: announcer.Announcer;
-  private warmth = warmth.UNKNOWN;
-  private readonly modelLoader = new baseModel.BaseModel();
+  private loadHistory = loadHistory.INITIAL;
+  private readonly modelLoader = new baseModelLoader.BaseModelLoader();
   /** Incarnation of the engine; empty while it is out or not yet known. */
   private instance = "";
-  private readonly orders: orders.Orders;
+  private readonly orders: orderSender.OrderSender;
   private readonly probe: probe.Probe;
   private readonly waker: waker.Waker;
   private stopped = false;
@@ -63,12 +63,17 @@
   constructor(private readonly deps: Deps) {
     this.waker = new waker.Waker(deps.clock);
     this.probe = new probe.Probe(deps.clock, deps.engine);
-    this.orders = new orders.Orders(deps.clock, deps.log, deps.engine);
+    this.orders = new orderSender.OrderSender(deps.clock, deps.log, deps.engine);
     this.announcer = new announcer.Announcer(
       deps.clock,
-      (silenceMs) => listing.state(this.view(deps.clock.mono()), this.announcer.count(), silenceMs),
-      () => listing.holdings(this.state, this.warmth.reach),
-      () => warmth.warm(this.warmth),
+      (silenceMs) =>
+        engineView.stateMessage(
+          this.view(deps.clock.mono()),
+          this.announcer.clientCount(),
+          silenceMs,
+        ),
+      () => engineView.holdingsMessage(this.state, this.loadHistory.reach),
+      () => loadHistory.warmAdapters(this.loadHistory),
     );
   }
 
@@ -97,7 +102,7 @@
   private nextOrder(): residency.Action | undefined {
     const now = this.deps.clock.mono();
     if (this.orders.busyMs(now) > 0) return undefined;
-    return residency.order(this.state, now, this.options());
+    return residency.nextOrder(this.state, now, this.options());
   }
 
   /** Stops {@link run} and the announcements. */
@@ -108,16 +113,16 @@
   }
 
   /** Takes over declared versions after the catalog changed. */
-  heard(): void {
+  catalogChanged(): void {
     const now = this.deps.clock.mono();
     for (const [key, version] of this.deps.catalog().versions) {
-      this.state = residency.declare(this.state, key, version, now);
+      this.state = residency.declareVersion(this.state, key, version, now);
     }
     this.waker.wake();
   }
 
   /** Reacts to a change of what workers have announced. */
-  noticed(): void {
+  noticesChanged(): void {
     this.waker.wake();
   }
 
@@ -133,17 +138,17 @@
 
   /** Removes a connection that closed, and ends its seats. */
   leave(c: announcer.Client): void {
-    for (const id of this.seatTable.of(c)) this.removeSeat(id, "left");
+    for (const id of this.seatTable.idsOf(c)) this.removeSeat(id, "left");
     this.announcer.leave(c);
   }
 
   /** Handles a request for a seat. */
-  ask(c: announcer.Client, m: seat.Ask): void {
+  ask(c: announcer.Client, m: seatMessages.Ask): void {
     const now = this.deps.clock.mono();
     const key = m.adapter === undefined ? m.model : catalog.adapterKey(m.model, m.adapter);
     const id = `${c.host}#${m.seat}`;
-    if (m.version > 0) this.state = residency.declare(this.state, key, m.version, now);
-    const ownMs = reading.expectedMs(this.seatTable.reading, m.promptTokens);
+    if (m.version > 0) this.state = residency.declareVersion(this.state, key, m.version, now);
+    const ownMs = prefillSpeed.firstEventMs(this.seatTable.speed, m.promptTokens);
     if (this.isLeaving()) {
       this.denyAtOnce(c, m, key, "leaving");
       return;
@@ -152,22 +157,22 @@
       this.denyAtOnce(c, m, key, "busy");
       return;
     }
-    const waiter = waiting.from(id, key, m, ownMs, now);
+    const waiter = seatQueue.waiterFor(id, key, m, ownMs, now);
     // A request that will be late in any case yields to others, so it gets the last rank and adds to
     // nobody's wait.
-    const rank = waiting.isLate(waiter, now) ? backlog.RANKS : m.rank;
-    this.seatTable.ask(id, ledger.asked(c, key, m, now), m.promptTokens, rank);
-    this.state = residency.ask(this.state, waiter, now);
+    const rank = seatQueue.isLate(waiter, now) ? backlog.RANK_COUNT : m.rank;
+    this.seatTable.add(id, seatTable.newSeat(c, key, m, now), m.promptTokens, rank);
+    this.state = residency.addWaiter(this.state, waiter, now);
     if (this.instance === "") this.deny(id, "out");
     else this.settleSeats();
     this.waker.wake();
-    this.announcer.asked(c);
+    this.announcer.announceSoon(c);
   }
 
   /** Whether a request should go to another engine, as it would be late here because of the wait. */
-  private isDiverted(m: seat.Ask, key: string, ownMs: number, now: number): boolean {
+  private isDiverted(m: seatMessages.Ask, key: string, ownMs: number, now: number): boolean {
     const isHeld = m.adapter === undefined || this.state.slots.has(key);
-    const waitMs = listing.waitMs(this.view(now), m.rank, isHeld);
+    const waitMs = engineView.waitMs(this.view(now), m.rank, isHeld);
     return diversion.isDiverted({ waitMs, ownMs, targetMs: m.targetMs });
   }
 
@@ -175,50 +180,60 @@
    * Denies a seat at once, and sends the current state first, so that the entry daemon can find a better
    * engine.
    */
-  private denyAtOnce(c: announcer.Client, m: seat.Ask, adapter: string, reason: seat.Deny): void {
-    this.announcer.tell(c);
+  private denyAtOnce(
+    c: announcer.Client,
+    m: seatMessages.Ask,
+    adapter: string,
+    reason: seatMessages.DenyReason,
+  ): void {
+    this.announcer.announceNow(c);
     c.send({ kind: "deny", seat: m.seat, reason });
     this.logDenied(m.request, adapter, reason, 0);
   }
 
-  private logDenied(request: string, adapter: string, reason: seat.Deny, waitedMs: number): void {
+  private logDenied(
+    request: string,
+    adapter: string,
+    reason: seatMessages.DenyReason,
+    waitedMs: number,
+  ): void {
     this.deps.log.info("A seat was denied.", { request, adapter, reason, waitedMs });
   }
 
   /** Records that the first event of a run came, `ms` after its request was sent. */
-  began(c: announcer.Client, n: number, ms: number): void {
-    this.seatTable.began(`${c.host}#${n}`, ms, this.deps.clock.mono());
+  recordFirstEvent(c: announcer.Client, n: number, ms: number): void {
+    this.seatTable.recordFirstEvent(`${c.host}#${n}`, ms, this.deps.clock.mono());
     this.waker.wake();
-    this.announcer.changed();
+    this.announcer.stateChanged();
   }
 
   /** Ends a seat that its entry daemon does not need any more. */
-  end(c: announcer.Client, n: number, how: ledger.End): void {
+  endSeat(c: announcer.Client, n: number, how: seatTable.SeatOutcome): void {
     this.removeSeat(`${c.host}#${n}`, how);
-    if (how === "absent") this.probe.hurry();
+    if (how === "absent") this.probe.makeDue();
     this.waker.wake();
-    this.announcer.changed();
+    this.announcer.stateChanged();
   }
 
   /** Number of seats asked for or granted. */
-  count(): number {
+  seatCount(): number {
     return this.seatTable.count;
   }
 
   /** Removes a seat that ended, whether it was granted or not. */
-  private removeSeat(id: string, how: ledger.End): void {
+  private removeSeat(id: string, how: seatTable.SeatOutcome): void {
     const s = this.seatTable.remove(id);
     if (!s) return;
-    if (s.givenAt === undefined) {
-      this.state = residency.answered(this.state, id);
+    if (s.grantedAt === undefined) {
+      this.state = residency.removeWaiter(this.state, id);
       return;
     }
-    this.state = residency.pin(this.state, s.key, -1);
-    this.seatTable.learn(s, how, this.deps.clock.mono());
+    this.state = residency.addPin(this.state, s.key, -1);
+    this.seatTable.recordEnd(s, how, this.deps.clock.mono());
   }
 
   private options(): residency.Options {
-    return slotOptions.of(this.spec(), this.warmth, this.deps.versionMs);
+    return slotOptions.optionsFor(this.spec(), this.loadHistory, this.deps.versionMs);
   }
 
   private spec(): catalog.EngineSpec | undefined {
@@ -228,7 +243,7 @@
   /** Grants the seats that the state allows, and denies the expired ones. */
   private settleSeats(): void {
     const now = this.deps.clock.mono();
-    for (const a of residency.seats(this.state, now, this.options(), this.prefillLoad(now))) {
+    for (const a of residency.seatActions(this.state, now, this.options(), this.prefillLoad(now))) {
       switch (a.kind) {
         case "grant":
           this.grant(a.waiter, a.version);
@@ -244,13 +259,13 @@
     }
   }
 
-  private grant(w: waiting.Waiter, version: number | undefined): void {
+  private grant(w: seatQueue.Waiter, version: number | undefined): void {
     const now = this.deps.clock.mono();
-    const s = this.seatTable.give(w.seat, now);
-    this.state = residency.answered(this.state, w.seat);
+    const s = this.seatTable.grant(w.seat, now);
+    this.state = residency.removeWaiter(this.state, w.seat);
     if (!s) return;
-    this.state = residency.pin(this.state, w.key, 1);
-    s.client.send({ kind: "grant", seat: s.n, instance: this.instance, version });
+    this.state = residency.addPin(this.state, w.key, 1);
+    s.client.send({ kind: "grant", seat: s.seatNumber, instance: this.instance, version });
     const waitedMs = now - s.askedAt;
     this.deps.log.info("A seat was given.", {
       request: s.request,
@@ -259,45 +274,45 @@
       instance: this.instance,
       waitedMs,
     });
-    this.announcer.changed();
+    this.announcer.stateChanged();
   }
 
-  private deny(id: string, reason: seat.Deny): void {
+  private deny(id: string, reason: seatMessages.DenyReason): void {
     const s = this.seatTable.remove(id);
-    this.state = residency.answered(this.state, id);
+    this.state = residency.removeWaiter(this.state, id);
     if (!s) return;
-    s.client.send({ kind: "deny", seat: s.n, reason });
+    s.client.send({ kind: "deny", seat: s.seatNumber, reason });
     this.logDenied(s.request, s.key, reason, this.deps.clock.mono() - s.askedAt);
-    this.announcer.changed();
+    this.announcer.stateChanged();
   }
 
-  private denyAll(reason: seat.Deny): void {
+  private denyAll(reason: seatMessages.DenyReason): void {
     for (const w of this.state.waiting) this.deny(w.seat, reason);
   }
 
   /** Milliseconds until the next poll or timeout, that is, how long to sleep unless something happens. */
   private idleMs(): number {
     const now = this.deps.clock.mono();
-    const timeoutMs = residency.wakeIn(this.state, now, this.options()) ?? Infinity;
+    const timeoutMs = residency.nextTimeoutMs(this.state, now, this.options()) ?? Infinity;
     const roomMs =
-      residency.readIn(this.state, now, this.options(), this.prefillLoad(now)) ?? Infinity;
+      residency.prefillRoomInMs(this.state, now, this.options(), this.prefillLoad(now)) ?? Infinity;
     const busyMs = this.orders.busyMs(now) || Infinity;
     return Math.max(1, Math.min(this.pollInMs(), timeoutMs, roomMs, busyMs));
   }
 
-  private prefillLoad(now: number): residency.Reading {
-    return { ms: this.seatTable.readingMs(now), unbegun: this.seatTable.unbegun(now) };
+  private prefillLoad(now: number): residency.PrefillLoad {
+    return { ms: this.seatTable.prefillMs(now), unstarted: this.seatTable.unstarted(now) };
   }
 
   /** Milliseconds until the next poll of the engine is due. */
   private pollInMs(): number {
-    return this.probe.dueInMs(this.instance !== "", this.state, this.warmth);
+    return this.probe.dueInMs(this.instance !== "", this.state, this.loadHistory);
   }
 
   /** Polls the engine and updates the state. */
   private async poll(): Promise<void> {
     const isKnown = this.instance !== "";
-    const result = await this.probe.ask(isKnown ? undefined : () => this.identify());
+    const result = await this.probe.run(isKnown ? undefined : () => this.identify());
     switch (result.kind) {
       case "paused":
         this.deps.log.warn("The engine asks for a pause.", { forMs: result.forMs });
@@ -315,10 +330,10 @@
     report,
     askedAt,
     answer,
-  }: Extract<probe.Finding, { kind: "report" }>): void {
+  }: Extract<probe.ProbeResult, { kind: "report" }>): void {
     if (name !== undefined) this.engineFound(incarnation.idOf(name, report.born));
     const isRestarted = incarnation.startOf(this.instance) !== report.born;
-    if (isRestarted || !this.orders.heard(report.sequence)) {
+    if (isRestarted || !this.orders.syncSequence(report.sequence)) {
       this.deps.log.warn("The engine started anew.", { instance: this.instance });
       this.engineLost();
       return;
@@ -338,7 +353,7 @@
   private engineFound(instance: string): void {
     this.instance = instance;
     this.orders.reset();
-    this.announcer.changedMuch();
+    this.announcer.announceSoonToAll();
     this.deps.log.info("The engine answers.", { instance });
   }
 
@@ -351,30 +366,35 @@
   private engineLost(): void {
     this.instance = "";
     this.orders.reset();
-    this.warmth = warmth.emptied(this.warmth);
-    const { newest, heat, waiting } = this.state;
-    this.state = { ...residency.empty(), newest, heat, waiting };
+    this.loadHistory = loadHistory.afterRestart(this.loadHistory);
+    const { newest, popularity: heat, waiting } = this.state;
+    this.state = { ...residency.empty(), newest, popularity: heat, waiting };
     this.denyAll("out");
-    this.announcer.changedMuch();
+    this.announcer.announceSoonToAll();
   }
 
   /** Updates the state from a report that was requested at `askedAt`. */
   private applyReport(report: engine.Report, askedAt: number): void {
     const models = report.models.map((m) => m.name);
     const before = this.state;
-    this.modelLoader.heard(report.nearby);
-    this.state = residency.reconcile(this.state, models, listing.adapters(report), askedAt);
-    for (const { key, since } of residency.loaded(before, this.state)) {
-      this.warmth = warmth.loaded(this.warmth, key, askedAt - since);
+    this.modelLoader.setLocalModels(report.localModels);
+    this.state = residency.reconcile(
+      this.state,
+      models,
+      engineView.listedAdapters(report),
+      askedAt,
+    );
+    for (const { key, phaseSince: since } of residency.finishedLoads(before, this.state)) {
+      this.loadHistory = loadHistory.recordLoad(this.loadHistory, key, askedAt - since);
     }
     for (const key of before.slots.keys()) if (!this.state.slots.has(key)) this.adapterLeft(key);
-    this.announcer.changed();
+    this.announcer.stateChanged();
   }
 
   /** Records that an adapter is in no slot any more; the engine's host keeps it in memory for a while. */
   private adapterLeft(key: string): void {
-    this.warmth = warmth.held(this.warmth, key);
-    this.announcer.departed(key);
+    this.loadHistory = loadHistory.recordHeld(this.loadHistory, key);
+    this.announcer.adapterLeft(key);
   }
 
   /** Carries out one action on the engine. */
@@ -385,7 +405,11 @@
       case "expire":
         return;
       case "close":
-        this.state = residency.put(this.state, { ...a.slot, phase: "closing", since: now });
+        this.state = residency.putSlot(this.state, {
+          ...a.slot,
+          phase: "closing",
+          phaseSince: now,
+        });
         this.deps.log.info("An adapter in use is given out no more.", {
           adapter: a.slot.key,
           pins: a.slot.pins,
@@ -393,35 +417,35 @@
         return;
       case "load": {
         const { model, adapter, version } = a;
-        this.state = residency.loading(this.state, a, now);
+        this.state = residency.startLoad(this.state, a, now);
         await this.sendOrder({ kind: "load", model, adapter, version });
         return;
       }
       case "unload":
-        this.state = residency.put(this.state, { ...a.slot, phase: "unsure", since: now });
+        this.state = residency.putSlot(this.state, { ...a.slot, phase: "unsure", phaseSince: now });
         await this.sendOrder({ kind: "unload", model: a.slot.model, adapter: a.slot.adapter });
         return;
     }
   }
 
   /** Sends one order, and records its result or polls the engine for it. */
-  private async sendOrder(o: orders.Change): Promise<void> {
-    const { count } = this.orders;
-    const result = await this.orders.give(o, this.instance, this.deps.catalog().revision);
+  private async sendOrder(o: orderSender.Change): Promise<void> {
+    const { sequence: count } = this.orders;
+    const result = await this.orders.send(o, this.instance, this.deps.catalog().revision);
     if (result.kind === "moved") {
       this.engineLost();
       return;
     }
     if (result.kind !== "accepted" || o.adapter === undefined) {
       await this.poll();
-      if (result.kind === "conflict") this.orders.refused(count);
+      if (result.kind === "conflict") this.orders.recordConflict(count);
       return;
     }
     const key = catalog.adapterKey(o.model, o.adapter);
     if (o.kind === "load") {
-      this.state = residency.accepted(this.state, key);
+      this.state = residency.acceptLoad(this.state, key);
       if (result.done) await this.poll();
-      else this.orders.taken();
+      else this.orders.recordAccepted();
       return;
     }
     // A slot counts as empty only when a report shows it: the engine may still run a request that its
@@ -431,16 +455,20 @@
 
   /** Orders the base model for an engine that has none; returns whether an order was sent. */
   private async loadModel(): Promise<boolean> {
-    const wanted = this.modelLoader.wanted(this.spec(), this.state.models, this.deps.clock.mono());
+    const wanted = this.modelLoader.modelToLoad(
+      this.spec(),
+      this.state.models,
+      this.deps.clock.mono(),
+    );
     if (!wanted) return false;
     if (this.modelLoader.needsTurn(wanted) && !(await this.deps.modelTurn())) return false;
-    this.modelLoader.asked(this.deps.clock.mono());
+    this.modelLoader.recordLoadOrder(this.deps.clock.mono());
     await this.sendOrder({ kind: "load", model: wanted.name });
     return true;
   }
 
-  private view(now: number): listing.Known {
-    const { instance, seatTable: seats, state: held, warmth } = this;
-    return { instance, seats, held, warmth, slots: this.options().slots, now };
+  private view(now: number): engineView.EngineView {
+    const { instance, seatTable: seats, state: held, loadHistory: warmth } = this;
+    return { instance, seats, held, loadHistory: warmth, slots: this.options().slots, now };
   }
 }
--- a/src/serving/listing.ts
+++ b/src/serving/engine-view.ts
@@ -6,33 +6,37 @@
 import * as backlog from "./backlog.js";
 import * as catalog from "./catalog.js";
 import type * as engine from "./engine.js";
-import type * as ledger from "./ledger.js";
-import * as reading from "./reading.js";
+import type * as seatTable from "./seat-table.js";
+import * as prefillSpeed from "./prefill-speed.js";
 import * as residency from "./residency.js";
-import type * as seat from "./seat.js";
-import type * as warmth from "./warmth.js";
+import type * as seatMessages from "./seat-messages.js";
+import type * as loadHistory from "./load-history.js";
 
 /** Decimals of `msPerToken` and of `failing` in state messages. */
 const TOKEN_DECIMALS = 4;
 const FAILING_DECIMALS = 2;
 
-function listed(model: string, held: engine.Held, pending: boolean): residency.Listed {
+function listed(
+  model: string,
+  held: engine.HeldAdapter,
+  pending: boolean,
+): residency.ListedAdapter {
   const { adapter, version } = held;
   return { key: catalog.adapterKey(model, adapter), model, adapter, version, pending };
 }
 
 /** Returns the adapters that a report lists, including those that are being loaded. */
-export function adapters(report: engine.Report): readonly residency.Listed[] {
+export function listedAdapters(report: engine.Report): readonly residency.ListedAdapter[] {
   const held = report.models.flatMap((m) => m.adapters.map((a) => listed(m.name, a, false)));
   const loading = report.pending.map((p) => listed(p.model, p, true));
   return [...held, ...loading];
 }
 
 /** What an engine holds, as in the message to entry daemons but without the adapters that left. */
-export type Holdings = Omit<seat.Holdings, "gone">;
+export type Holdings = Omit<seatMessages.Holdings, "gone">;
 
 /** Builds the holdings message; `reach` is how many of the latest adapters load fast. */
-export function holdings(s: residency.State, reach: number): Holdings {
+export function holdingsMessage(s: residency.State, reach: number): Holdings {
   const available = [...s.slots.values()].filter(
     (p) => p.phase === "resident" || p.phase === "loading",
   );
@@ -40,11 +44,11 @@
 }
 
 /** All that an endpoint daemon knows about its engine, at one time. */
-export interface Known {
+export interface EngineView {
   readonly instance: string;
-  readonly seats: ledger.Ledger;
+  readonly seats: seatTable.SeatTable;
   readonly held: residency.State;
-  readonly warmth: warmth.Warmth;
+  readonly loadHistory: loadHistory.LoadHistory;
   /** Number of adapters that the engine can hold. */
   readonly slots: number;
   /** Monotonic ms of this view. */
@@ -53,7 +57,7 @@
 
 /** Estimated ms until a slot for another adapter is free, if a slot becomes free every `eachMs`. */
 export function slotMs(held: residency.State, slots: number, eachMs: number): number {
-  const { free, wanted } = residency.room(held, slots);
+  const { free, wanted } = residency.slotDemand(held, slots);
   return free > wanted ? 0 : (wanted - free + 1) * eachMs;
 }
 
@@ -61,8 +65,8 @@
  * Estimated ms until the engine starts on a prompt of rank `rank` that arrives now; `isHeld` says whether its
  * adapter is in a slot.
  */
-export function waitMs(k: Known, rank: number, isHeld: boolean): number {
-  const queueMs = k.seats.waits(k.now)[backlog.place(rank)] ?? 0;
+export function waitMs(k: EngineView, rank: number, isHeld: boolean): number {
+  const queueMs = k.seats.waitsByRank(k.now)[backlog.rankIndex(rank)] ?? 0;
   return isHeld ? queueMs : Math.max(queueMs, slotMs(k.held, k.slots, k.seats.holdMs / k.slots));
 }
 
@@ -70,21 +74,25 @@
  * Builds the state message. `entries` is the number of connected entry daemons; the next announcement follows
  * within `silenceMs`.
  */
-export function state(k: Known, entries: number, silenceMs: number): seat.State {
-  const { reading: estimate } = k.seats;
+export function stateMessage(
+  k: EngineView,
+  entries: number,
+  silenceMs: number,
+): seatMessages.State {
+  const { speed: estimate } = k.seats;
   const eachSlotMs = k.seats.holdMs / k.slots;
   return {
     kind: "state",
     instance: k.instance,
-    waitMs: k.seats.waits(k.now),
-    msPerToken: Number(reading.msPerToken(estimate).toFixed(TOKEN_DECIMALS)),
-    firstMs: Math.round(reading.firstMs(estimate)),
+    waitMs: k.seats.waitsByRank(k.now),
+    msPerToken: Number(prefillSpeed.msPerToken(estimate).toFixed(TOKEN_DECIMALS)),
+    firstMs: Math.round(prefillSpeed.firstMs(estimate)),
     slotMs: Math.round(slotMs(k.held, k.slots, eachSlotMs)),
     eachSlotMs: Math.round(eachSlotMs),
-    coldMs: Math.round(k.warmth.coldMs),
-    warmMs: Math.round(k.warmth.warmMs),
+    coldMs: Math.round(k.loadHistory.coldMs),
+    warmMs: Math.round(k.loadHistory.warmMs),
     seats: k.seats.count,
-    failing: Number(k.seats.failing.toFixed(FAILING_DECIMALS)),
+    failing: Number(k.seats.failureShare.toFixed(FAILING_DECIMALS)),
     entries,
     silenceMs,
   };
--- a/src/serving/engine.ts
+++ b/src/serving/engine.ts
@@ -5,7 +5,7 @@
 import type * as notices from "./notices.js";
 
 /** An adapter that an engine lists. */
-export interface Held {
+export interface HeldAdapter {
   readonly adapter: string;
   readonly version: number;
 }
@@ -16,12 +16,12 @@
   readonly models: readonly {
     readonly name: string;
     readonly version: number;
-    readonly adapters: readonly Held[];
+    readonly adapters: readonly HeldAdapter[];
   }[];
   /** Base models that it can load from its own memory or disk, without the weight store. */
-  readonly nearby: readonly string[];
+  readonly localModels: readonly string[];
   /** Adapters that are being loaded. */
-  readonly pending: readonly (Held & { readonly model: string })[];
+  readonly pending: readonly (HeldAdapter & { readonly model: string })[];
   /** Notices in the headers of the answer with this report. */
   readonly notice: notices.Notice;
   /** Whether a change of base models is in progress. */
--- a/src/serving/lines.ts
+++ b/src/serving/json-lines.ts
@@ -33,7 +33,7 @@
 }
 
 /** Sends and receives messages on a socket. A message that does not match `schema` ends the connection. */
-export function channel<In, Out extends object>(
+export function openChannel<In, Out extends object>(
   socket: net.Socket,
   schema: zod.ZodType<In>,
   on: Handlers<In>,
--- a/src/serving/link.ts
+++ b/src/serving/link.ts
@@ -13,9 +13,9 @@
 import type * as suspicionState from "./suspicion-state.js";
 import type * as limiterMessages from "./limiter-messages.js";
 import type * as noticeMessages from "./notice-messages.js";
-import * as lines from "./lines.js";
-import * as seat from "./seat.js";
-import * as warmth from "./warmth.js";
+import * as jsonLines from "./json-lines.js";
+import * as seatMessages from "./seat-messages.js";
+import * as loadHistory from "./load-history.js";
 
 /** Timeout for connecting, in milliseconds; even a host in another failure domain answers within a few. */
 const CONNECT_TIMEOUT_MS = 600;
@@ -49,12 +49,12 @@
 /** Result of a request for a seat. */
 export type Answer =
   | { readonly kind: "grant"; readonly instance: string; readonly version: number | undefined }
-  | { readonly kind: "deny"; readonly reason: seat.Deny }
+  | { readonly kind: "deny"; readonly reason: seatMessages.DenyReason }
   /** The endpoint daemon is not connected or did not answer in time, or the caller released the seat first. */
   | { readonly kind: "unreachable" };
 
 /** What a request for a seat tells the endpoint daemon. */
-export type SeatRequest = Omit<Extract<seat.FromEntry, { kind: "ask" }>, "kind" | "seat">;
+export type SeatRequest = Omit<Extract<seatMessages.FromEntry, { kind: "ask" }>, "kind" | "seat">;
 
 /** A seat that was requested, granted or not. */
 export interface PendingSeat {
@@ -62,7 +62,7 @@
   /** Reports that the first event came after `ms` milliseconds. */
   readonly began: (ms: number) => void;
   /** Gives the seat back, or withdraws the request for it; `how` tells how the request ended. */
-  readonly release: (how: Extract<seat.FromEntry, { kind: "over" }>["how"]) => void;
+  readonly release: (how: Extract<seatMessages.FromEntry, { kind: "over" }>["how"]) => void;
 }
 
 /** What a connection needs, and the callbacks that it calls. */
@@ -84,7 +84,7 @@
   /** Called with a message that relays what a worker announced about itself. */
   readonly onNotice: (m: noticeMessages.Notice, peer: string) => void;
   /** The messages to send to the endpoint daemon at an address once it is connected. */
-  readonly messagesOnConnect: (address: string) => readonly seat.FromEntry[];
+  readonly messagesOnConnect: (address: string) => readonly seatMessages.FromEntry[];
 }
 
 /** A seat request that has no answer yet. */
@@ -96,8 +96,8 @@
 
 /** A connection to one endpoint daemon, which is made again whenever it breaks. */
 export class Link {
-  private channel: lines.Channel<seat.FromEntry> | undefined;
-  private lastState: seat.State | undefined;
+  private channel: jsonLines.Channel<seatMessages.FromEntry> | undefined;
+  private lastState: seatMessages.State | undefined;
   private lastHoldings: choice.Holdings | undefined;
   /** Keys of the adapters that were resident on the engine and no longer are, the latest first. */
   private recentAdapters: readonly string[] = [];
@@ -135,7 +135,7 @@
   }
 
   /** The last state received; undefined while the endpoint daemon is not connected or is unresponsive. */
-  get state(): seat.State | undefined {
+  get state(): seatMessages.State | undefined {
     return this.lastState;
   }
 
@@ -190,7 +190,9 @@
   }
 
   /** Sends a message that has no answer; drops it while the endpoint daemon is not connected. */
-  send(m: Exclude<seat.FromEntry, { kind: "hello" | "ask" | "began" | "over" | "draw" }>): void {
+  send(
+    m: Exclude<seatMessages.FromEntry, { kind: "hello" | "ask" | "began" | "over" | "draw" }>,
+  ): void {
     this.channel?.send(m);
   }
 
@@ -268,16 +270,20 @@
       this.deps.log.info("An endpoint daemon is reached.", { peer: this.address });
       this.scheduleSilenceCheck();
     });
-    const channel = lines.channel<seat.FromEndpoint, seat.FromEntry>(socket, seat.fromEndpoint, {
-      message: (m) => {
-        this.receive(m);
+    const channel = jsonLines.openChannel<seatMessages.FromEndpoint, seatMessages.FromEntry>(
+      socket,
+      seatMessages.fromEndpoint,
+      {
+        message: (m) => {
+          this.receive(m);
+        },
+        closed: (why, byPeer) => {
+          timeout.cancel();
+          this.closedByPeer = byPeer;
+          this.disconnected(wasConnected, why);
+        },
       },
-      closed: (why, byPeer) => {
-        timeout.cancel();
-        this.closedByPeer = byPeer;
-        this.disconnected(wasConnected, why);
-      },
-    });
+    );
   }
 
   private disconnected(wasConnected: boolean, why: string): void {
@@ -297,7 +303,7 @@
     this.reconnectMs = Math.min(RECONNECT_MAX_MS, this.reconnectMs * 2);
   }
 
-  private receive(m: seat.FromEndpoint): void {
+  private receive(m: seatMessages.FromEndpoint): void {
     this.lastHeardAt = this.deps.clock.mono();
     this.unansweredSince = undefined;
     switch (m.kind) {
@@ -325,7 +331,7 @@
     }
   }
 
-  private updateState(m: seat.State): void {
+  private updateState(m: seatMessages.State): void {
     const isSameEngine = this.lastState?.instance === m.instance;
     this.hasNamedEngine ||= m.instance !== "";
     if (this.hasNamedEngine || this.lastHeardAt - this.connectedAt >= ENGINE_UNKNOWN_MS) {
@@ -341,10 +347,10 @@
   }
 
   /** Takes in the engine's holdings, and remembers the adapters that are no longer resident. */
-  private updateHoldings(m: seat.Holdings): void {
+  private updateHoldings(m: seatMessages.Holdings): void {
     const gone = (this.lastHoldings?.resident ?? []).filter((key) => !m.resident.includes(key));
     this.recentAdapters = [...m.gone, ...gone.filter((key) => !m.gone.includes(key))].reduce(
-      warmth.remember,
+      loadHistory.moveToFront,
       this.recentAdapters,
     );
     const { models, resident } = m;
--- a/src/serving/warmth.ts
+++ b/src/serving/load-history.ts
@@ -6,7 +6,7 @@
  * @module
  */
 
-export interface Warmth {
+export interface LoadHistory {
   /** Adapters that the engine holds or held, the latest first. */
   readonly recent: readonly string[];
   /** How many of these, from the start of the list, are expected to load fast. */
@@ -55,7 +55,7 @@
 const FASTEST_GROWTH = 1.01;
 
 /** The history of an engine without loads yet: initial estimates only. */
-export const UNKNOWN: Warmth = {
+export const INITIAL: LoadHistory = {
   recent: [],
   reach: INITIAL_REACH,
   fastestMs: undefined,
@@ -65,46 +65,46 @@
 };
 
 /** Returns the adapters that are expected to load fast, the latest first. */
-export function warm(w: Warmth): readonly string[] {
+export function warmAdapters(w: LoadHistory): readonly string[] {
   return w.recent.slice(0, w.reach);
 }
 
 /** Whether an adapter is expected to load fast. */
-export function isWarm(w: Warmth, key: string): boolean {
+export function isWarm(w: LoadHistory, key: string): boolean {
   const pos = w.recent.indexOf(key);
   return pos >= 0 && pos < w.reach;
 }
 
 /** The history after the engine restarted: its host's memory holds no adapters, and the load times stay. */
-export function emptied(w: Warmth): Warmth {
+export function afterRestart(w: LoadHistory): LoadHistory {
   return { ...w, recent: [] };
 }
 
 /** Records that the engine holds, or until now held, an adapter. */
-export function held(w: Warmth, key: string): Warmth {
-  return { ...w, recent: remember(w.recent, key) };
+export function recordHeld(w: LoadHistory, key: string): LoadHistory {
+  return { ...w, recent: moveToFront(w.recent, key) };
 }
 
 /** Moves `key` to the front of a list of adapters, or adds it there. */
-export function remember(recent: readonly string[], key: string): readonly string[] {
+export function moveToFront(recent: readonly string[], key: string): readonly string[] {
   return [key, ...recent.filter((k) => k !== key).slice(0, MAX_RECENT - 1)];
 }
 
 /** Records that an adapter was loaded in `tookMs`. */
-export function loaded(w: Warmth, key: string, tookMs: number): Warmth {
+export function recordLoad(w: LoadHistory, key: string, tookMs: number): LoadHistory {
   const pos = w.recent.indexOf(key);
-  if (pos < 0) return held(recordCold(w, tookMs), key);
+  if (pos < 0) return recordHeld(recordCold(w, tookMs), key);
   if (tookMs < WARM_FRACTION * w.coldMs) {
     const reach = Math.max(w.reach, pos + 1);
-    return held({ ...w, reach, warmMs: smoothed(w.warmMs, tookMs) }, key);
+    return recordHeld({ ...w, reach, warmMs: smoothed(w.warmMs, tookMs) }, key);
   }
   const shrunk = Math.max(1, pos, Math.floor(w.reach * MIN_REACH_FRACTION));
   const reach = Math.min(w.reach, shrunk);
-  return held({ ...recordCold(w, tookMs), reach }, key);
+  return recordHeld({ ...recordCold(w, tookMs), reach }, key);
 }
 
 /** Records a load from the weight store that took `tookMs`, and adjusts the limit on concurrent ones. */
-function recordCold(w: Warmth, tookMs: number): Warmth {
+function recordCold(w: LoadHistory, tookMs: number): LoadHistory {
   const fastestMs = Math.min(tookMs, FASTEST_GROWTH * (w.fastestMs ?? Infinity));
   const isSlow = tookMs > SLOW_FACTOR * fastestMs;
   const limit = isSlow ? Math.max(1, w.limit / 2) : Math.min(MAX_COLD_LOADS, w.limit + 1 / w.limit);
@@ -120,7 +120,7 @@
  * anywhere, so each engine adapts to its own load times, as in delay-based congestion control: the limit
  * grows by one for each round of fast loads, and is halved after a slow one.
  */
-export function coldAtOnce(w: Warmth): number {
+export function coldLoadLimit(w: LoadHistory): number {
   return Math.floor(w.limit);
 }
 
--- a/src/serving/orders.ts
+++ b/src/serving/order-sender.ts
@@ -28,7 +28,7 @@
  */
 const BUSY_MS = 25;
 
-export class Orders {
+export class OrderSender {
   /** Sequence number in the engine's last report. */
   private reportedSequence = 0;
   /** That number and the orders that the engine accepted since. */
@@ -55,7 +55,7 @@
    * Takes over the sequence number of a report; returns false if it fell, as the engine must have
    * restarted.
    */
-  heard(sequence: number): boolean {
+  syncSequence(sequence: number): boolean {
     if (sequence < this.reportedSequence) return false;
     this.reportedSequence = sequence;
     this.expectedSequence = sequence;
@@ -68,7 +68,7 @@
   }
 
   /** Sends one order to the incarnation `instance`, with the fencing number `epoch`. */
-  async give(change: Change, instance: string, epoch: number): Promise<engine.OrderResult> {
+  async send(change: Change, instance: string, epoch: number): Promise<engine.OrderResult> {
     const sentAt = this.clk.mono();
     const sequence = this.expectedSequence;
     const waitMs = Math.min(
@@ -96,17 +96,17 @@
    * Counts an accepted order. If the count is wrong, the engine refuses the next order, and is polled
    * again.
    */
-  taken(): void {
+  recordAccepted(): void {
     this.expectedSequence++;
   }
 
   /** Records that the engine refused an order with this sequence number, and was polled since. */
-  refused(sequence: number): void {
+  recordConflict(sequence: number): void {
     if (this.expectedSequence === sequence) this.busyUntil = this.clk.mono() + BUSY_MS;
   }
 
   /** Sequence number of the next order. */
-  get count(): number {
+  get sequence(): number {
     return this.expectedSequence;
   }
 }
--- a/src/serving/looks.ts
+++ b/src/serving/polling.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type * as residency from "./residency.js";
-import * as warmth from "./warmth.js";
+import * as loadHistory from "./load-history.js";
 
 /**
  * Milliseconds between polls while the engine changes nothing. Engine and daemon share a host, so a poll costs
@@ -25,13 +25,17 @@
  * Monotonic ms of the poll after the one at `polledAt`: when a load may be finished, or after a fixed
  * interval.
  */
-export function next(s: residency.State, w: warmth.Warmth, polledAt: number): number {
-  const warm = new Set(warmth.warm(w));
+export function nextPollAt(
+  s: residency.State,
+  w: loadHistory.LoadHistory,
+  polledAt: number,
+): number {
+  const warm = new Set(loadHistory.warmAdapters(w));
   let pollAt = polledAt + (s.models.length === 0 ? NO_MODEL_POLL_MS : IDLE_POLL_MS);
   for (const p of s.slots.values()) {
     if (p.phase !== "loading") continue;
     const takesMs = warm.has(p.key) ? w.warmMs : w.coldMs;
-    const loadedAt = p.since + LOADED_FRACTION * takesMs;
+    const loadedAt = p.phaseSince + LOADED_FRACTION * takesMs;
     pollAt = Math.min(pollAt, Math.max(loadedAt, polledAt + LOADING_POLL_MS));
   }
   return pollAt;
--- a/src/serving/reading.ts
+++ b/src/serving/prefill-speed.ts
@@ -6,7 +6,7 @@
  */
 
 /** Weighted sums over the latest runs, as the regression needs them. */
-export interface Reading {
+export interface PrefillSpeed {
   readonly weight: number;
   readonly tokens: number;
   readonly ms: number;
@@ -29,9 +29,9 @@
 /** A run's time is capped at this multiple of the expected one, so that a single outlier changes little. */
 const OUTLIER_FACTOR = 4;
 
-const NOTHING: Reading = { weight: 0, tokens: 0, ms: 0, tokensSquared: 0, tokensMs: 0 };
+const NOTHING: PrefillSpeed = { weight: 0, tokens: 0, ms: 0, tokensSquared: 0, tokensMs: 0 };
 
-function add(r: Reading, tokens: number, ms: number): Reading {
+function add(r: PrefillSpeed, tokens: number, ms: number): PrefillSpeed {
   return {
     weight: r.weight + 1,
     tokens: r.tokens + tokens,
@@ -42,14 +42,14 @@
 }
 
 /** The estimate for an engine that has not run anything yet. */
-export const UNKNOWN: Reading = add(
+export const INITIAL: PrefillSpeed = add(
   add(NOTHING, 0, GUESS_FIRST_MS),
   GUESS_TOKENS,
   GUESS_FIRST_MS + GUESS_TOKENS * GUESS_MS_PER_TOKEN,
 );
 
 /** Estimated ms that the engine needs to read one prompt token. */
-export function msPerToken(r: Reading): number {
+export function msPerToken(r: PrefillSpeed): number {
   const spread = r.weight * r.tokensSquared - r.tokens * r.tokens;
   if (spread <= 0) return GUESS_MS_PER_TOKEN;
   const slope = (r.weight * r.tokensMs - r.tokens * r.ms) / spread;
@@ -60,19 +60,19 @@
  * Estimated ms of a run that don't depend on its prompt: from the last prompt token to the first event,
  * and any overhead.
  */
-export function firstMs(r: Reading): number {
+export function firstMs(r: PrefillSpeed): number {
   return Math.max(0, (r.ms - msPerToken(r) * r.tokens) / r.weight);
 }
 
 /** Estimated ms until the first event of a run when `tokens` have to be read before it. */
-export function expectedMs(r: Reading, tokens: number): number {
+export function firstEventMs(r: PrefillSpeed, tokens: number): number {
   return firstMs(r) + tokens * msPerToken(r);
 }
 
 /** Adds a run whose first event came after `ms`, when `tokens` had been read. */
-export function seen(r: Reading, tokens: number, ms: number): Reading {
-  const cappedMs = Math.min(ms, OUTLIER_FACTOR * expectedMs(r, tokens));
-  const older: Reading = {
+export function withRun(r: PrefillSpeed, tokens: number, ms: number): PrefillSpeed {
+  const cappedMs = Math.min(ms, OUTLIER_FACTOR * firstEventMs(r, tokens));
+  const older: PrefillSpeed = {
     weight: r.weight * DECAY,
     tokens: r.tokens * DECAY,
     ms: r.ms * DECAY,
--- a/src/serving/probe.ts
+++ b/src/serving/probe.ts
@@ -6,9 +6,9 @@
 import * as errors from "../host/why.js";
 import type * as availability from "./availability.js";
 import * as engine from "./engine.js";
-import * as looks from "./looks.js";
+import * as polling from "./polling.js";
 import type * as residency from "./residency.js";
-import type * as warmth from "./warmth.js";
+import type * as loadHistory from "./load-history.js";
 
 /** Milliseconds until the next poll after the engine did not answer. */
 const RETRY_MS = 100;
@@ -18,7 +18,7 @@
 const REPORT_OUT_EVERY = 100;
 
 /** The result of one poll. */
-export type Finding =
+export type ProbeResult =
   | {
       readonly kind: "report";
       /** The worker's name; undefined if it was not asked for. */
@@ -51,8 +51,8 @@
    * Milliseconds until the next poll; 0 if the engine is not known (`isKnown`), unless it asked for a
    * pause.
    */
-  dueInMs(isKnown: boolean, s: residency.State, w: warmth.Warmth): number {
-    const dueInMs = isKnown ? looks.next(s, w, this.askedAt) - this.clk.mono() : 0;
+  dueInMs(isKnown: boolean, s: residency.State, w: loadHistory.LoadHistory): number {
+    const dueInMs = isKnown ? polling.nextPollAt(s, w, this.askedAt) - this.clk.mono() : 0;
     return Math.max(0, dueInMs, this.pausedMs);
   }
 
@@ -66,12 +66,12 @@
   }
 
   /** Makes the next poll due at once; called when the engine may have changed by itself. */
-  hurry(): void {
+  makeDue(): void {
     this.askedAt = -Infinity;
   }
 
   /** Polls the engine; `identify` asks for the worker's name, and is undefined while that is known. */
-  async ask(identify: (() => Promise<string>) | undefined): Promise<Finding> {
+  async run(identify: (() => Promise<string>) | undefined): Promise<ProbeResult> {
     const askedAt = this.clk.mono();
     const sentAt = this.clk.steady();
     try {
@@ -88,7 +88,7 @@
     }
   }
 
-  private failed(err: unknown): Finding {
+  private failed(err: unknown): ProbeResult {
     if (err instanceof engine.PauseError) {
       this.pausedUntil = this.clk.steady() + err.forMs;
       return { kind: "paused", forMs: err.forMs };
--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import * as popularity from "../endpoint/popularity.js";
-import * as waiting from "./waiting.js";
+import * as seatQueue from "./seat-queue.js";
 
 /** An adapter in one of the engine's slots. */
 export interface Slot {
@@ -25,34 +25,34 @@
   /** Number of granted seats that use it. */
   readonly pins: number;
   /** Monotonic ms of the last change of phase. */
-  readonly since: number;
+  readonly phaseSince: number;
 }
 
 export interface Options {
   /** Number of adapters that the engine can hold. */
   readonly slots: number;
   /** Loads of adapters in progress at the same time, at most. */
-  readonly loads: number;
+  readonly maxLoads: number;
   /** Loads from the weight store in progress at the same time, at most. */
-  readonly coldLoads: number;
+  readonly maxColdLoads: number;
   /** Whether an adapter is expected to load from the memory of the engine's host. */
   readonly isWarm: (key: string) => boolean;
   /** Milliseconds that a request waits for a slot before an adapter in use is closed for it. */
   readonly closeAfterMs: number;
   /** Milliseconds for which seats on an outdated version are still granted after the newer one is known. */
-  readonly outdatedMs: number;
+  readonly outdatedUseMs: number;
 }
 
 /** Prompts with granted seats that an engine still has to read. */
-export interface Reading {
+export interface PrefillLoad {
   /** Estimated ms that it needs to read them. */
   readonly ms: number;
   /** Number of requests with granted seats that have no first event yet. */
-  readonly unbegun: number;
+  readonly unstarted: number;
 }
 
 /** The prefill load of an idle engine. */
-export const IDLE: Reading = { ms: 0, unbegun: 0 };
+export const NO_PREFILL: PrefillLoad = { ms: 0, unstarted: 0 };
 
 /**
  * The next seat is granted this many ms before the engine has read all its prompts. That is about the time
@@ -72,11 +72,11 @@
   /** Base models that the engine holds. */
   readonly models: readonly string[];
   readonly slots: ReadonlyMap<string, Slot>;
-  readonly waiting: readonly waiting.Waiter[];
+  readonly waiting: readonly seatQueue.Waiter[];
   /** Newest known version of each adapter by key; `at` is the monotonic ms at which it became known. */
   readonly newest: ReadonlyMap<string, { readonly version: number; readonly at: number }>;
   /** How often each adapter was asked for lately; decides which one is evicted. */
-  readonly heat: popularity.Popularity;
+  readonly popularity: popularity.Popularity;
 }
 
 /** Half-life of an adapter's popularity in ms; demand shifts within some seconds. */
@@ -91,17 +91,17 @@
     slots: new Map(),
     waiting: [],
     newest: new Map(),
-    heat: popularity.cold(HALF_LIFE_MS, TRACKED_ADAPTERS),
+    popularity: popularity.cold(HALF_LIFE_MS, TRACKED_ADAPTERS),
   };
 }
 
 export type Action =
   | {
       readonly kind: "grant";
-      readonly waiter: waiting.Waiter;
+      readonly waiter: seatQueue.Waiter;
       readonly version: number | undefined;
     }
-  | { readonly kind: "expire"; readonly waiter: waiting.Waiter }
+  | { readonly kind: "expire"; readonly waiter: seatQueue.Waiter }
   | {
       readonly kind: "load";
       readonly model: string;
@@ -120,11 +120,11 @@
 function isUsable(s: State, p: Slot, now: number, opts: Options): boolean {
   if (p.phase !== "resident") return false;
   const newest = s.newest.get(p.key);
-  return !newest || newest.version <= p.version || now - newest.at < opts.outdatedMs;
+  return !newest || newest.version <= p.version || now - newest.at < opts.outdatedUseMs;
 }
 
 /** Whether a waiter's adapter, or its base model, can be used now. */
-function isReady(s: State, w: waiting.Waiter, now: number, opts: Options): boolean {
+function isReady(s: State, w: seatQueue.Waiter, now: number, opts: Options): boolean {
   if (w.adapter === undefined) return s.models.includes(w.model);
   const p = s.slots.get(w.key);
   return p !== undefined && isUsable(s, p, now, opts);
@@ -134,22 +134,22 @@
  * Returns the seats to grant and the ones to deny as expired at `now`; `prefill` is what the engine
  * still has to read.
  */
-export function seats(
+export function seatActions(
   s: State,
   now: number,
   opts: Options,
-  prefill: Reading = IDLE,
+  prefill: PrefillLoad = NO_PREFILL,
 ): readonly Action[] {
   const out: Action[] = [];
-  let { ms, unbegun } = prefill;
-  for (const w of waiting.inOrder(s.waiting, now)) {
+  let { ms, unstarted: unbegun } = prefill;
+  for (const w of seatQueue.servingOrder(s.waiting, now)) {
     const ready = isReady(s, w, now, opts);
     if (ready && ms <= GRANT_AHEAD_MS && unbegun < MAX_UNSTARTED) {
-      ms += w.ownMs;
+      ms += w.serviceMs;
       unbegun++;
       const version = w.adapter === undefined ? undefined : s.slots.get(w.key)?.version;
       out.push({ kind: "grant", waiter: w, version });
-    } else if (now >= w.dueAt) {
+    } else if (now >= w.expiresAt) {
       out.push({ kind: "expire", waiter: w });
     }
   }
@@ -157,13 +157,18 @@
 }
 
 /** Milliseconds until the engine has room for another prompt; undefined if no waiter is ready for it. */
-export function readIn(s: State, now: number, opts: Options, prefill: Reading): number | undefined {
+export function prefillRoomInMs(
+  s: State,
+  now: number,
+  opts: Options,
+  prefill: PrefillLoad,
+): number | undefined {
   if (!s.waiting.some((w) => isReady(s, w, now, opts))) return undefined;
   return Math.max(1, prefill.ms - GRANT_AHEAD_MS);
 }
 
 /** Returns the next order for the engine, or slot to close, at `now`; orders are sent one at a time. */
-export function order(s: State, now: number, opts: Options): Action | undefined {
+export function nextOrder(s: State, now: number, opts: Options): Action | undefined {
   const wanted = wantedKeys(s, now);
   const stale = staleIdle(s);
   // Adapters that requests wait for go first; otherwise an unused outdated adapter is replaced before
@@ -171,9 +176,9 @@
   if (stale && (wanted.length === 0 || isWaitedFor(s, stale.key))) return load(s, stale);
   const loading = [...s.slots.values()].filter((p) => p.phase === "loading");
   const cold = loading.filter((p) => !opts.isWarm(p.key)).length;
-  const allowed = cold < opts.coldLoads ? wanted : wanted.filter((w) => opts.isWarm(w.key));
+  const allowed = cold < opts.maxColdLoads ? wanted : wanted.filter((w) => opts.isWarm(w.key));
   const [first] = allowed;
-  if (!first || loading.length >= opts.loads) return undefined;
+  if (!first || loading.length >= opts.maxLoads) return undefined;
   if (s.slots.size < opts.slots) return load(s, first);
   const victim = slotToEvict(s, now);
   if (victim) return { kind: "unload", slot: victim };
@@ -209,16 +214,19 @@
 /** Adapters that requests wait for and that are in no slot, in the serving order of their first waiter. */
 function wantedKeys(s: State, now: number): readonly Wanted[] {
   const out = new Map<string, Wanted>();
-  for (const w of waiting.inOrder(s.waiting, now)) {
+  for (const w of seatQueue.servingOrder(s.waiting, now)) {
     if (w.adapter === undefined || s.slots.has(w.key) || out.has(w.key)) continue;
     if (!s.models.includes(w.model)) continue;
-    out.set(w.key, { key: w.key, model: w.model, adapter: w.adapter, askedAt: w.since });
+    out.set(w.key, { key: w.key, model: w.model, adapter: w.adapter, askedAt: w.askedAt });
   }
   return [...out.values()];
 }
 
 /** Counts the slots that are free or could be emptied at once, and the adapters that wait for one. */
-export function room(s: State, slots: number): { readonly free: number; readonly wanted: number } {
+export function slotDemand(
+  s: State,
+  slots: number,
+): { readonly free: number; readonly wanted: number } {
   const waited = new Set(s.waiting.map((w) => w.key));
   const wanted = [...waited].filter((key) => !s.slots.has(key)).length;
   const idle = [...s.slots.values()].filter((p) => isIdle(p, waited)).length;
@@ -242,7 +250,7 @@
 /** The slot of the least popular adapter among `of`. */
 function leastPopular(s: State, of: readonly Slot[], now: number): Slot | undefined {
   const key = popularity.coldest(
-    s.heat,
+    s.popularity,
     of.map((p) => p.key),
     now,
   );
@@ -270,57 +278,57 @@
  * Milliseconds from `now` until the next timeout of a waiter or an outdated version; undefined if there
  * is none.
  */
-export function wakeIn(s: State, now: number, opts: Options): number | undefined {
-  const times = s.waiting.flatMap((w) => [w.dueAt - now, w.since + opts.closeAfterMs - now]);
+export function nextTimeoutMs(s: State, now: number, opts: Options): number | undefined {
+  const times = s.waiting.flatMap((w) => [w.expiresAt - now, w.askedAt + opts.closeAfterMs - now]);
   for (const p of s.slots.values()) {
     const newest = s.newest.get(p.key);
-    if (newest && newest.version > p.version) times.push(newest.at + opts.outdatedMs - now);
+    if (newest && newest.version > p.version) times.push(newest.at + opts.outdatedUseMs - now);
   }
   const ahead = times.filter((t) => t > 0);
   return ahead.length === 0 ? undefined : Math.min(...ahead);
 }
 
 /** Adds a request that waits for a seat. */
-export function ask(s: State, w: waiting.Waiter, now: number): State {
-  const heat = popularity.hit(s.heat, w.key, 1, now);
-  return { ...s, waiting: [...s.waiting, w], heat };
+export function addWaiter(s: State, w: seatQueue.Waiter, now: number): State {
+  const heat = popularity.hit(s.popularity, w.key, 1, now);
+  return { ...s, waiting: [...s.waiting, w], popularity: heat };
 }
 
 /** Removes the waiter of a seat that was granted, denied or given up. */
-export function answered(s: State, seat: string): State {
+export function removeWaiter(s: State, seat: string): State {
   return { ...s, waiting: s.waiting.filter((w) => w.seat !== seat) };
 }
 
 /** Changes the number of seats that use a slot by one. */
-export function pin(s: State, key: string, by: 1 | -1): State {
+export function addPin(s: State, key: string, by: 1 | -1): State {
   const p = s.slots.get(key);
   if (!p) return s;
-  return put(s, { ...p, pins: Math.max(0, p.pins + by) });
+  return putSlot(s, { ...p, pins: Math.max(0, p.pins + by) });
 }
 
 /** Adds or replaces a slot. */
-export function put(s: State, p: Slot): State {
+export function putSlot(s: State, p: Slot): State {
   return { ...s, slots: new Map(s.slots).set(p.key, p) };
 }
 
 /** Records that a load is ordered; the slot counts as taken from now on. */
-export function loading(
+export function startLoad(
   s: State,
   { key, model, adapter, version = 0 }: Extract<Action, { kind: "load" }>,
   now: number,
 ): State {
   const pins = s.slots.get(key)?.pins ?? 0;
-  return put(s, { key, model, adapter, version, phase: "loading", pins, since: now });
+  return putSlot(s, { key, model, adapter, version, phase: "loading", pins, phaseSince: now });
 }
 
 /** Records that the engine accepted the order recorded by {@link startLoad}. */
-export function accepted(s: State, key: string): State {
+export function acceptLoad(s: State, key: string): State {
   const p = s.slots.get(key);
-  return p?.phase === "loading" ? put(s, { ...p, accepted: true }) : s;
+  return p?.phase === "loading" ? putSlot(s, { ...p, accepted: true }) : s;
 }
 
 /** Removes a slot that is known to be empty. */
-export function drop(s: State, key: string): State {
+export function removeSlot(s: State, key: string): State {
   if (!s.slots.has(key)) return s;
   const slots = new Map(s.slots);
   slots.delete(key);
@@ -328,13 +336,13 @@
 }
 
 /** Records that a version was declared; ignored unless it is newer than the known one. */
-export function declare(s: State, key: string, version: number, now: number): State {
+export function declareVersion(s: State, key: string, version: number, now: number): State {
   if ((s.newest.get(key)?.version ?? 0) >= version) return s;
   return { ...s, newest: new Map(s.newest).set(key, { version, at: now }) };
 }
 
 /** An adapter that an engine's report lists. */
-export interface Listed {
+export interface ListedAdapter {
   readonly key: string;
   readonly model: string;
   readonly adapter: string;
@@ -350,24 +358,24 @@
 export function reconcile(
   s: State,
   models: readonly string[],
-  listed: readonly Listed[],
+  listed: readonly ListedAdapter[],
   askedAt: number,
 ): State {
   let next: State = { ...s, models };
   const seen = new Set(listed.map((l) => l.key));
   for (const p of s.slots.values()) {
-    if (!seen.has(p.key) && p.since < askedAt) next = drop(next, p.key);
+    if (!seen.has(p.key) && p.phaseSince < askedAt) next = removeSlot(next, p.key);
   }
   for (const l of listed) {
     const p = s.slots.get(l.key);
-    if (p && p.since >= askedAt) continue;
-    next = put(next, slotOf(l, p, askedAt));
+    if (p && p.phaseSince >= askedAt) continue;
+    next = putSlot(next, slotOf(l, p, askedAt));
   }
   return next;
 }
 
 /** Returns the slots that were loading in `before` and are resident in `now`, as they were in `before`. */
-export function loaded(before: State, now: State): readonly Slot[] {
+export function finishedLoads(before: State, now: State): readonly Slot[] {
   return [...before.slots.values()].filter(
     (p) => p.phase === "loading" && now.slots.get(p.key)?.phase === "resident",
   );
@@ -381,15 +389,23 @@
 const REPLACE_TIMEOUT_MS = 3000;
 
 /** Whether an engine lists an old version that it is about to replace. */
-function isBeingReplaced(l: Listed, p: Slot, now: number): boolean {
+function isBeingReplaced(l: ListedAdapter, p: Slot, now: number): boolean {
   if (p.phase !== "loading" || !p.accepted || l.version >= p.version) return false;
-  return now - p.since < REPLACE_TIMEOUT_MS;
+  return now - p.phaseSince < REPLACE_TIMEOUT_MS;
 }
 
 /** Builds the slot for a listed adapter; `p` is the slot as known before. */
-function slotOf(l: Listed, p: Slot | undefined, now: number): Slot {
+function slotOf(l: ListedAdapter, p: Slot | undefined, now: number): Slot {
   if (p && isBeingReplaced(l, p, now)) return p;
   const phase = l.pending ? "loading" : p?.phase === "closing" ? "closing" : "resident";
   const { key, model, adapter, version } = l;
-  return { key, model, adapter, version, phase, pins: p?.pins ?? 0, since: p?.since ?? now };
+  return {
+    key,
+    model,
+    adapter,
+    version,
+    phase,
+    pins: p?.pins ?? 0,
+    phaseSince: p?.phaseSince ?? now,
+  };
 }
--- a/src/serving/seat.ts
+++ b/src/serving/seat-messages.ts
@@ -128,4 +128,4 @@
     .readonly(),
 ]);
 export type FromEndpoint = zod.infer<typeof fromEndpoint>;
-export type Deny = Extract<FromEndpoint, { kind: "deny" }>["reason"];
+export type DenyReason = Extract<FromEndpoint, { kind: "deny" }>["reason"];
--- a/src/serving/waiting.ts
+++ b/src/serving/seat-queue.ts
@@ -2,7 +2,7 @@
  * The requests that wait for a seat on an engine, and the order in which they are served. Pure.
  * @module
  */
-import type * as seat from "./seat.js";
+import type * as seatMessages from "./seat-messages.js";
 
 /** A request for a seat that is neither granted nor denied yet. */
 export interface Waiter {
@@ -16,13 +16,13 @@
   /** Urgency; 0 is the most urgent. */
   readonly rank: number;
   /** Monotonic ms at which the seat was asked for. */
-  readonly since: number;
+  readonly askedAt: number;
   /** Estimated ms from the start of reading its prompt until its first event. */
-  readonly ownMs: number;
+  readonly serviceMs: number;
   /** Monotonic ms after which its first event is late. */
   readonly targetAt: number;
   /** Monotonic ms after which the seat is of no use, and is denied. */
-  readonly dueAt: number;
+  readonly expiresAt: number;
 }
 
 /**
@@ -32,15 +32,21 @@
 const RANK_MS = 100;
 
 /** Creates the waiter for a request for a seat that arrives at `now`; `key` is its adapter's. */
-export function from(seatId: string, key: string, m: seat.Ask, ownMs: number, now: number): Waiter {
+export function waiterFor(
+  seatId: string,
+  key: string,
+  m: seatMessages.Ask,
+  ownMs: number,
+  now: number,
+): Waiter {
   const { model, adapter, rank } = m;
-  const times = { since: now, targetAt: now + m.targetMs, dueAt: now + m.leftMs };
-  return { seat: seatId, key, model, adapter, rank, ownMs, ...times };
+  const times = { askedAt: now, targetAt: now + m.targetMs, expiresAt: now + m.leftMs };
+  return { seat: seatId, key, model, adapter, rank, serviceMs: ownMs, ...times };
 }
 
 /** Latest monotonic ms at which the engine must start on a request for its first event to be on time. */
 function startBy(w: Waiter): number {
-  return w.targetAt - w.ownMs;
+  return w.targetAt - w.serviceMs;
 }
 
 /**
@@ -48,9 +54,9 @@
  * latest start and rank; then the others, by the time at which their seat is of no use any more. Under
  * overload, a late answer loses little by coming later still, so it yields to those that it would make late.
  */
-export function inOrder(waiting: readonly Waiter[], now: number): readonly Waiter[] {
+export function servingOrder(waiting: readonly Waiter[], now: number): readonly Waiter[] {
   const late = (w: Waiter): number => (isLate(w, now) ? 1 : 0);
-  const key = (w: Waiter): number => (late(w) ? w.dueAt : startBy(w) + w.rank * RANK_MS);
+  const key = (w: Waiter): number => (late(w) ? w.expiresAt : startBy(w) + w.rank * RANK_MS);
   return [...waiting].sort((a, b) => late(a) - late(b) || key(a) - key(b));
 }
 
--- a/src/serving/ledger.ts
+++ b/src/serving/seat-table.ts
@@ -5,8 +5,8 @@
  */
 import type * as announcer from "./announcer.js";
 import * as backlog from "./backlog.js";
-import type * as reading from "./reading.js";
-import type * as seat from "./seat.js";
+import type * as prefillSpeed from "./prefill-speed.js";
+import type * as seatMessages from "./seat-messages.js";
 
 /** Weight of the latest run in the smoothed share of failed runs. */
 const FAILURE_WEIGHT = 0.12;
@@ -16,29 +16,34 @@
 const INITIAL_HOLD_MS = 600;
 
 /** How a seat ended, as reported by the entry daemon. */
-export type End = Extract<seat.FromEntry, { kind: "over" }>["how"];
+export type SeatOutcome = Extract<seatMessages.FromEntry, { kind: "over" }>["how"];
 
 export interface Seat {
   readonly client: announcer.Client;
   /** Number of the seat on the client's connection. */
-  readonly n: number;
+  readonly seatNumber: number;
   readonly request: string;
   /** Key of the adapter, or of the base model. */
   readonly key: string;
   /** Monotonic ms at which it was asked for, and at which it was granted; undefined until then. */
   readonly askedAt: number;
-  readonly givenAt: number | undefined;
+  readonly grantedAt: number | undefined;
 }
 
 /** Creates a seat that a client asks for at `now`; `key` is its adapter's. */
-export function asked(client: announcer.Client, key: string, m: seat.Ask, now: number): Seat {
+export function newSeat(
+  client: announcer.Client,
+  key: string,
+  m: seatMessages.Ask,
+  now: number,
+): Seat {
   const { seat: n, request } = m;
-  return { client, n, request, key, askedAt: now, givenAt: undefined };
+  return { client, seatNumber: n, request, key, askedAt: now, grantedAt: undefined };
 }
 
-export class Ledger {
+export class SeatTable {
   private readonly seats = new Map<string, Seat>();
-  private load = backlog.IDLE;
+  private load = backlog.EMPTY;
   private failedShare = 0;
   private smoothedHoldMs = INITIAL_HOLD_MS;
 
@@ -48,7 +53,7 @@
   }
 
   /** Smoothed share of the latest runs that failed, 0 to 1. */
-  get failing(): number {
+  get failureShare(): number {
     return this.failedShare;
   }
 
@@ -58,62 +63,62 @@
   }
 
   /** Estimated speed at which the engine reads prompts. */
-  get reading(): reading.Reading {
-    return this.load.reading;
+  get speed(): prefillSpeed.PrefillSpeed {
+    return this.load.speed;
   }
 
   /** Estimated ms that the engine needs to read the prompts whose seats are granted. */
-  readingMs(now: number): number {
-    return backlog.readingMs(this.load, now);
+  prefillMs(now: number): number {
+    return backlog.prefillMs(this.load, now);
   }
 
   /** Number of requests whose seats were granted lately and that have no first event yet. */
-  unbegun(now: number): number {
-    return backlog.unbegun(this.load, now);
+  unstarted(now: number): number {
+    return backlog.unstarted(this.load, now);
   }
 
   /** Estimated ms until the engine starts to read a prompt that arrives at `now`, by rank. */
-  waits(now: number): readonly number[] {
-    return backlog.waits(this.load, now);
+  waitsByRank(now: number): readonly number[] {
+    return backlog.waitsByRank(this.load, now);
   }
 
-  ask(id: string, s: Seat, promptTokens: number, rank: number): void {
+  add(id: string, s: Seat, promptTokens: number, rank: number): void {
     this.seats.set(id, s);
-    this.load = backlog.asked(this.load, id, promptTokens, rank);
+    this.load = backlog.addSeat(this.load, id, promptTokens, rank);
   }
 
   /** Marks a seat as granted at `now`; returns undefined if it is not asked for any more. */
-  give(id: string, now: number): Seat | undefined {
+  grant(id: string, now: number): Seat | undefined {
     const s = this.seats.get(id);
     if (!s) return undefined;
-    this.load = backlog.given(this.load, id, now);
-    this.seats.set(id, { ...s, givenAt: now });
+    this.load = backlog.grantSeat(this.load, id, now);
+    this.seats.set(id, { ...s, grantedAt: now });
     return s;
   }
 
   /** Records that the first event of a run came, `ms` after its request was sent. */
-  began(id: string, ms: number, now: number): void {
-    this.load = backlog.began(this.load, id, ms, now);
+  recordFirstEvent(id: string, ms: number, now: number): void {
+    this.load = backlog.recordFirstEvent(this.load, id, ms, now);
   }
 
   /** Removes a seat that ended, was denied or was given up. */
   remove(id: string): Seat | undefined {
     const s = this.seats.get(id);
     this.seats.delete(id);
-    this.load = backlog.over(this.load, id);
+    this.load = backlog.removeSeat(this.load, id);
     return s;
   }
 
   /** Updates the statistics with a seat that ended at `now`. */
-  learn(s: Seat, how: End, now: number): void {
-    const heldMs = now - (s.givenAt ?? now);
+  recordEnd(s: Seat, how: SeatOutcome, now: number): void {
+    const heldMs = now - (s.grantedAt ?? now);
     this.smoothedHoldMs += (heldMs - this.smoothedHoldMs) * HOLD_WEIGHT;
     if (how === "failed") this.failedShare += (1 - this.failedShare) * FAILURE_WEIGHT;
     if (how === "whole") this.failedShare -= this.failedShare * FAILURE_WEIGHT;
   }
 
   /** Returns the ids of a client's seats. */
-  of(c: announcer.Client): readonly string[] {
+  idsOf(c: announcer.Client): readonly string[] {
     return [...this.seats].filter(([, s]) => s.client === c).map(([id]) => id);
   }
 }
--- a/src/serving/slot-options.ts
+++ b/src/serving/slot-options.ts
@@ -4,7 +4,7 @@
  */
 import type * as catalog from "./catalog.js";
 import type * as residency from "./residency.js";
-import * as warmth from "./warmth.js";
+import * as loadHistory from "./load-history.js";
 
 /** Loads of adapters in progress at the same time, at most. */
 const MAX_LOADS = 4;
@@ -17,17 +17,17 @@
  * Returns the options for the engine that `spec` describes; `versionMs` after its declaration, a version must
  * be the only one in use.
  */
-export function of(
+export function optionsFor(
   spec: catalog.EngineSpec | undefined,
-  history: warmth.Warmth,
+  history: loadHistory.LoadHistory,
   versionMs: number,
 ): residency.Options {
   return {
     slots: spec?.slots ?? 1,
-    loads: MAX_LOADS,
-    coldLoads: warmth.coldAtOnce(history),
-    isWarm: (key) => warmth.isWarm(history, key),
+    maxLoads: MAX_LOADS,
+    maxColdLoads: loadHistory.coldLoadLimit(history),
+    isWarm: (key) => loadHistory.isWarm(history, key),
     closeAfterMs: CLOSE_AFTER_MS,
-    outdatedMs: OUTDATED_FRACTION * versionMs,
+    outdatedUseMs: OUTDATED_FRACTION * versionMs,
   };
 }
--- a/test/serving/announcer.test.ts
+++ b/test/serving/announcer.test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as time from "../../bench/measure/time.js";
 import * as announcer from "../../src/serving/announcer.js";
-import type * as seat from "../../src/serving/seat.js";
+import type * as seatMessages from "../../src/serving/seat-messages.js";
 import * as fixtures from "./fixtures.js";
 
 const { expect } = chai;
@@ -13,7 +13,7 @@
   let seats = 0;
   const news = new announcer.Announcer(
     clk,
-    (silenceMs): seat.State => ({
+    (silenceMs): seatMessages.State => ({
       ...fixtures.STATE,
       instance: "i1",
       seats,
@@ -35,7 +35,7 @@
           if (line.includes('"state"')) r.states.push(clk.mono());
           else {
             r.holdings++;
-            r.gone.push(...(JSON.parse(line) as seat.Holdings).gone);
+            r.gone.push(...(JSON.parse(line) as seatMessages.Holdings).gone);
           }
         }
       },
@@ -47,18 +47,18 @@
     for (let at = clk.mono(); at < ms; at += 10)
       clk.after(at - clk.mono(), () => {
         seats++;
-        news.changed();
+        news.stateChanged();
       });
     await clk.runUntil(ms);
   };
   const leave = (key: string): void => {
     resident = resident.filter((k) => k !== key);
-    news.departed(key);
-    news.changed();
+    news.adapterLeft(key);
+    news.stateChanged();
   };
   const hold = (key: string): void => {
     resident = [...resident, key];
-    news.changed();
+    news.stateChanged();
   };
   return { clk, news, clients, received, changeUntil, hold, leave };
 }
@@ -82,7 +82,7 @@
     await s.changeUntil(1000);
     const [first] = s.clients;
     const before = s.received[0]?.states.length ?? 0;
-    if (first) s.news.asked(first);
+    if (first) s.news.announceSoon(first);
     await s.clk.runUntil(1040);
     expect(s.received[0]?.states.length).above(before);
   });
@@ -91,7 +91,7 @@
     const s = setUp(60);
     await s.changeUntil(1000);
     const from = s.clk.mono();
-    s.news.changedMuch();
+    s.news.announceSoonToAll();
     await s.clk.runUntil(from + 21);
     for (const r of s.received) expect(r.states.at(-1)).within(from, from + 21);
   });
@@ -109,7 +109,7 @@
     const s = setUp(10);
     await s.clk.runUntil(500);
     const before = sum(s.received.map((r) => r.states.length));
-    for (let i = 0; i < 20; i++) s.news.changed();
+    for (let i = 0; i < 20; i++) s.news.stateChanged();
     await s.clk.runUntil(900);
     expect(sum(s.received.map((r) => r.states.length))).equal(before);
   });
--- a/test/serving/cap-link.test.ts
+++ b/test/serving/cap-link.test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as links from "./links.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 const { expect } = chai;
 
@@ -10,13 +10,16 @@
 
 /** A connection to an endpoint daemon that answers as the test tells it to. */
 async function connected() {
-  const daemon = await telling.open(telling.state("i1"), telling.holdings());
+  const daemon = await fakeEndpointDaemon.open(
+    fakeEndpointDaemon.state("i1"),
+    fakeEndpointDaemon.holdings(),
+  );
   const { made } = links.open(daemon.address, [{ kind: "attach", hosts: 1, totals: [] }]);
   cleanups.push(() => {
     made.close();
     daemon.close();
   });
-  await engines.until(() => made.state !== undefined);
+  await managedEngines.eventually(() => made.state !== undefined);
   return { daemon, made };
 }
 
@@ -27,7 +30,7 @@
 
   it("attaches its caps before anything else is sent", async () => {
     const { daemon } = await connected();
-    await engines.until(() => daemon.heard.length >= 2);
+    await managedEngines.eventually(() => daemon.heard.length >= 2);
     expect(daemon.heard).deep.equal(["hello", "attach"]);
   });
 
@@ -35,7 +38,7 @@
     const { daemon, made } = await connected();
     const first = made.draw("news", { wants: [10], patienceMs: 0 });
     const second = made.draw("news", { wants: [20], patienceMs: 0 });
-    await engines.until(() => daemon.heard.filter((k) => k === "draw").length === 2);
+    await managedEngines.eventually(() => daemon.heard.filter((k) => k === "draw").length === 2);
     daemon.tell(
       { kind: "drawn", draw: 1, delaysMs: [], waitMs: 70 },
       { kind: "drawn", draw: 0, delaysMs: [0], waitMs: 0 },
@@ -59,7 +62,7 @@
   it("resolves a draw without a reply if the owner sends other messages but does not reply", async () => {
     const { daemon, made } = await connected();
     const talking = setInterval(() => {
-      daemon.tell(telling.state("i1"));
+      daemon.tell(fakeEndpointDaemon.state("i1"));
     }, 50);
     cleanups.push(() => {
       clearInterval(talking);
@@ -72,7 +75,7 @@
   it("resolves a draw without a reply if the owner ends, which then no longer counts this host", async () => {
     const { daemon, made } = await connected();
     const asked = made.draw("news", { wants: [10], patienceMs: 0 });
-    await engines.until(() => daemon.heard.includes("draw"));
+    await managedEngines.eventually(() => daemon.heard.includes("draw"));
     daemon.close();
     expect(await asked).equal(undefined);
     expect(made.isForgotten).equal(true);
--- a/test/serving/cold-start.test.ts
+++ b/test/serving/cold-start.test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as residency from "../../src/serving/residency.js";
-import * as waiting from "../../src/serving/waiting.js";
-import * as warmth from "../../src/serving/warmth.js";
+import * as seatQueue from "../../src/serving/seat-queue.js";
+import * as loadHistory from "../../src/serving/load-history.js";
 
 const { expect } = chai;
 
@@ -15,7 +15,7 @@
 
 interface Engine {
   state: residency.State;
-  history: warmth.Warmth;
+  history: loadHistory.LoadHistory;
   /** Loads in progress: the ms at full speed that each still takes, and the time of its order. */
   readonly loads: Map<string, { leftMs: number; readonly since: number }>;
 }
@@ -26,27 +26,27 @@
   for (let i = 0; i < wanted; i++) {
     const adapter = `e${n}a${i}`;
     const key = `${MODEL}/${adapter}`;
-    const times = { since: 0, ownMs: 200, targetAt: 1000 + i, dueAt: 5000 };
-    const waiter: waiting.Waiter = { seat: key, key, model: MODEL, adapter, rank: 1, ...times };
-    state = residency.ask(state, waiter, 0);
+    const times = { askedAt: 0, serviceMs: 200, targetAt: 1000 + i, expiresAt: 5000 };
+    const waiter: seatQueue.Waiter = { seat: key, key, model: MODEL, adapter, rank: 1, ...times };
+    state = residency.addWaiter(state, waiter, 0);
   }
-  return { state, history: warmth.UNKNOWN, loads: new Map() };
+  return { state, history: loadHistory.INITIAL, loads: new Map() };
 }
 
 /** Starts all loads that the engine should order now. */
 function startLoads(e: Engine, now: number, coldLoads: number): void {
   const opts: residency.Options = {
     slots: SLOTS,
-    loads: 4,
-    coldLoads,
+    maxLoads: 4,
+    maxColdLoads: coldLoads,
     isWarm: () => false,
     closeAfterMs: 100,
-    outdatedMs: 500,
+    outdatedUseMs: 500,
   };
   for (;;) {
-    const a = residency.order(e.state, now, opts);
+    const a = residency.nextOrder(e.state, now, opts);
     if (a?.kind !== "load") return;
-    e.state = residency.loading(e.state, a, now);
+    e.state = residency.startLoad(e.state, a, now);
     e.loads.set(a.key, { leftMs: LOAD_MS, since: now });
   }
 }
@@ -58,7 +58,7 @@
 function simulate(
   engines: number,
   atOnce: number,
-  coldLoads: (w: warmth.Warmth) => number,
+  coldLoads: (w: loadHistory.LoadHistory) => number,
 ): readonly number[] {
   const all = Array.from({ length: engines }, (_, i) => engine(i, SLOTS));
   const loadedAt: number[] = [];
@@ -72,8 +72,8 @@
         if (l.leftMs > 0) continue;
         e.loads.delete(key);
         const slot = e.state.slots.get(key);
-        if (slot) e.state = residency.put(e.state, { ...slot, phase: "resident" });
-        e.history = warmth.loaded(e.history, key, now - l.since);
+        if (slot) e.state = residency.putSlot(e.state, { ...slot, phase: "resident" });
+        e.history = loadHistory.recordLoad(e.history, key, now - l.since);
         loadedAt.push(now);
       }
     }
@@ -95,7 +95,7 @@
   ] as const) {
     it(`have adapters sooner than with as many loads as fit (${engines}, store ${atOnce})`, () => {
       const fixed = simulate(engines, atOnce, () => 4);
-      const adaptive = simulate(engines, atOnce, warmth.coldAtOnce);
+      const adaptive = simulate(engines, atOnce, loadHistory.coldLoadLimit);
       expect(adaptive.length).equal(fixed.length);
       expect(within(adaptive, 500)).least(engines);
       expect(within(fixed, 500)).equal(0);
@@ -105,12 +105,12 @@
   }
 
   it("raise their limit on a store that serves all loads at full speed", () => {
-    let w = warmth.UNKNOWN;
-    for (let i = 0; i < 8; i++) w = warmth.loaded(w, `a${i}`, LOAD_MS);
-    expect(warmth.coldAtOnce(w)).equal(4);
+    let w = loadHistory.INITIAL;
+    for (let i = 0; i < 8; i++) w = loadHistory.recordLoad(w, `a${i}`, LOAD_MS);
+    expect(loadHistory.coldLoadLimit(w)).equal(4);
     // Until the limit has grown, the first few adapters load one after the other: 0.62 s instead of 0.33 s in the mean.
     const fixed = simulate(4, 32, () => 4);
-    const adaptive = simulate(4, 32, warmth.coldAtOnce);
+    const adaptive = simulate(4, 32, loadHistory.coldLoadLimit);
     expect(mean(adaptive)).below(mean(fixed) + 320);
   });
 });
--- a/test/serving/decisions.test.ts
+++ b/test/serving/decisions.test.ts
@@ -7,8 +7,8 @@
 import * as choice from "../../src/serving/choice.js";
 import * as eventSplitter from "../../src/serving/event-splitter.js";
 import * as retryBudget from "../../src/serving/retry-budget.js";
-import * as warmth from "../../src/serving/warmth.js";
-import * as reading from "../../src/serving/reading.js";
+import * as loadHistory from "../../src/serving/load-history.js";
+import * as prefillSpeed from "../../src/serving/prefill-speed.js";
 import * as fixtures from "./fixtures.js";
 import * as retrySimulation from "./retry-simulation.js";
 
@@ -121,41 +121,41 @@
 });
 
 describe("backlog", () => {
-  const perToken = reading.msPerToken(reading.UNKNOWN);
+  const perToken = prefillSpeed.msPerToken(prefillSpeed.INITIAL);
 
   it("counts the prompts of the same or a more urgent rank that have not begun", () => {
-    let b = backlog.IDLE;
-    b = backlog.asked(b, "a", 2000, 0);
-    b = backlog.asked(b, "b", 2000, 2);
+    let b = backlog.EMPTY;
+    b = backlog.addSeat(b, "a", 2000, 0);
+    b = backlog.addSeat(b, "b", 2000, 2);
     const one = Math.round(2000 * perToken);
-    expect(backlog.waits(b, 0).slice(0, 3)).deep.equal([one, one, 2 * one]);
-    b = backlog.began(backlog.given(b, "a", 0), "a", 150, 150);
-    expect(backlog.waits(b, 150)[0]).equal(0);
+    expect(backlog.waitsByRank(b, 0).slice(0, 3)).deep.equal([one, one, 2 * one]);
+    b = backlog.recordFirstEvent(backlog.grantSeat(b, "a", 0), "a", 150, 150);
+    expect(backlog.waitsByRank(b, 150)[0]).equal(0);
   });
 
   it("deducts what was read of a prompt since its seat was granted", () => {
-    let b = backlog.given(backlog.asked(backlog.IDLE, "a", 2000, 0), "a", 0);
+    let b = backlog.grantSeat(backlog.addSeat(backlog.EMPTY, "a", 2000, 0), "a", 0);
     const all = 2000 * perToken;
-    expect(backlog.waits(b, all / 2)[0]).equal(Math.round(all / 2));
+    expect(backlog.waitsByRank(b, all / 2)[0]).equal(Math.round(all / 2));
     // Prompts with a seat are read before waiting ones, however urgent those are.
-    b = backlog.given(backlog.asked(b, "b", 2000, 2), "b", 0);
-    expect(backlog.waits(b, 0)[0]).equal(Math.round(2 * all));
-    b = backlog.over(b, "a");
-    expect(backlog.waits(b, 0)[0]).equal(Math.round(all));
+    b = backlog.grantSeat(backlog.addSeat(b, "b", 2000, 2), "b", 0);
+    expect(backlog.waitsByRank(b, 0)[0]).equal(Math.round(2 * all));
+    b = backlog.removeSeat(b, "a");
+    expect(backlog.waitsByRank(b, 0)[0]).equal(Math.round(all));
   });
 });
 
 describe("prompts that have a seat but are never sent", () => {
   it("do not keep an engine from others for good", () => {
-    let b = backlog.IDLE;
+    let b = backlog.EMPTY;
     for (let i = 0; i < 20; i++) {
-      b = backlog.given(backlog.asked(b, `s${i}`, 2000, 1), `s${i}`, 0);
+      b = backlog.grantSeat(backlog.addSeat(b, `s${i}`, 2000, 1), `s${i}`, 0);
     }
-    expect(backlog.unbegun(b, 100)).equal(20);
-    expect(backlog.unbegun(b, 3000)).equal(0);
-    b = backlog.given(backlog.asked(b, "good", 2000, 1), "good", 3000);
-    b = backlog.began(b, "good", 160, 3160);
-    expect(backlog.readingMs(b, 3160)).equal(0);
+    expect(backlog.unstarted(b, 100)).equal(20);
+    expect(backlog.unstarted(b, 3000)).equal(0);
+    b = backlog.grantSeat(backlog.addSeat(b, "good", 2000, 1), "good", 3000);
+    b = backlog.recordFirstEvent(b, "good", 160, 3160);
+    expect(backlog.prefillMs(b, 3160)).equal(0);
   });
 });
 
@@ -174,47 +174,48 @@
         prompts,
         fc.integer({ min: 0, max: 9 }),
         (speed, fixed, list, odd) => {
-          let r = reading.UNKNOWN;
+          let r = prefillSpeed.INITIAL;
           for (const [i, tokens] of list.entries()) {
             const ms = fixed + tokens / speed;
-            r = reading.seen(r, tokens, i % 10 === odd && i < 20 ? 20 * ms : ms);
+            r = prefillSpeed.withRun(r, tokens, i % 10 === odd && i < 20 ? 20 * ms : ms);
           }
           const expected = fixed + 8000 / speed;
-          expect(reading.expectedMs(r, 8000)).within(0.6 * expected, 1.8 * expected);
+          expect(prefillSpeed.firstEventMs(r, 8000)).within(0.6 * expected, 1.8 * expected);
         },
       ),
     );
   });
 
   it("learns that an engine has become slow", () => {
-    let r = reading.UNKNOWN;
+    let r = prefillSpeed.INITIAL;
     const run = (ms: number): void => {
-      for (const tokens of [800, 9000, 2000, 12_000]) r = reading.seen(r, tokens, ms + tokens / 40);
+      for (const tokens of [800, 9000, 2000, 12_000])
+        r = prefillSpeed.withRun(r, tokens, ms + tokens / 40);
     };
     for (let i = 0; i < 10; i++) run(50);
-    const before = reading.expectedMs(r, 9000);
+    const before = prefillSpeed.firstEventMs(r, 9000);
     for (let i = 0; i < 6; i++) run(600);
-    expect(reading.expectedMs(r, 9000)).above(before * 1.8);
+    expect(prefillSpeed.firstEventMs(r, 9000)).above(before * 1.8);
   });
 
   it("stays finite when all runs are identical", () => {
-    let r = reading.UNKNOWN;
-    for (let i = 0; i < 500; i++) r = reading.seen(r, 1000, 100);
-    expect(reading.expectedMs(r, 1000)).closeTo(100, 5);
-    expect(reading.msPerToken(r)).above(0);
+    let r = prefillSpeed.INITIAL;
+    for (let i = 0; i < 500; i++) r = prefillSpeed.withRun(r, 1000, 100);
+    expect(prefillSpeed.firstEventMs(r, 1000)).closeTo(100, 5);
+    expect(prefillSpeed.msPerToken(r)).above(0);
   });
 });
 
 describe("load history", () => {
   it("learns how many adapters load fast, also where it first assumes too many or too few", () => {
     for (const memory of [20, 60, 150]) {
-      let w = warmth.UNKNOWN;
+      let w = loadHistory.INITIAL;
       let inMemory: readonly string[] = [];
       // Some adapters are requested again while they are in memory, and some only after they were evicted.
       const rng = generators.xoroshiro128plus(memory);
       for (let i = 0; i < 3000; i++) {
         const key = `a${Math.floor(uniform.uniformFloat64(rng) * 211)}`;
-        w = warmth.loaded(w, key, inMemory.includes(key) ? 25 : 250);
+        w = loadHistory.recordLoad(w, key, inMemory.includes(key) ? 25 : 250);
         inMemory = [key, ...inMemory.filter((k) => k !== key)].slice(0, memory);
       }
       expect(w.reach).within(memory * 0.75, memory * 1.3);
@@ -223,9 +224,9 @@
 
   it("learns how long loads take, whatever the weight store's speed", () => {
     for (const coldMs of [60, 250, 2000]) {
-      let w = warmth.UNKNOWN;
-      for (let i = 0; i < 40; i++) w = warmth.loaded(w, `a${i}`, coldMs);
-      for (let i = 0; i < 10; i++) w = warmth.loaded(w, `a${39 - i}`, coldMs / 10);
+      let w = loadHistory.INITIAL;
+      for (let i = 0; i < 40; i++) w = loadHistory.recordLoad(w, `a${i}`, coldMs);
+      for (let i = 0; i < 10; i++) w = loadHistory.recordLoad(w, `a${39 - i}`, coldMs / 10);
       expect(w.coldMs).closeTo(coldMs, coldMs * 0.1);
       expect(w.warmMs).below(coldMs / 4);
     }
--- a/test/serving/endpoint-daemon-restart.test.ts
+++ b/test/serving/endpoint-daemon-restart.test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as links from "./links.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 const { expect } = chai;
 
@@ -10,13 +10,16 @@
 
 /** An entry daemon's connection to a fake endpoint daemon, and the engines that it reported as lost. */
 async function connected() {
-  const daemon = await telling.open(telling.state("i1"), telling.holdings());
+  const daemon = await fakeEndpointDaemon.open(
+    fakeEndpointDaemon.state("i1"),
+    fakeEndpointDaemon.holdings(),
+  );
   const { made, lost } = links.open(daemon.address);
   cleanups.push(() => {
     made.close();
     daemon.close();
   });
-  await engines.until(() => made.state?.instance === "i1");
+  await managedEngines.eventually(() => made.state?.instance === "i1");
   return { daemon, made, lost };
 }
 
@@ -32,39 +35,39 @@
    */
   it("does not cause its engine to count as lost before it has found it", async () => {
     const { daemon, made, lost } = await connected();
-    daemon.restart(telling.state(""));
-    await engines.until(() => made.state?.instance === "");
-    daemon.tell(telling.state("i1"));
-    await engines.until(() => made.state?.instance === "i1");
+    daemon.restart(fakeEndpointDaemon.state(""));
+    await managedEngines.eventually(() => made.state?.instance === "");
+    daemon.tell(fakeEndpointDaemon.state("i1"));
+    await managedEngines.eventually(() => made.state?.instance === "i1");
     expect(lost).deep.equal([]);
   });
 
   it("causes its old engine to count as lost when it reports another one", async () => {
     const { daemon, made, lost } = await connected();
-    daemon.restart(telling.state(""));
-    await engines.until(() => made.state?.instance === "");
-    daemon.tell(telling.state("i2"));
-    await engines.until(() => lost.length > 0);
+    daemon.restart(fakeEndpointDaemon.state(""));
+    await managedEngines.eventually(() => made.state?.instance === "");
+    daemon.tell(fakeEndpointDaemon.state("i2"));
+    await managedEngines.eventually(() => lost.length > 0);
     expect(lost).deep.equal(["i1"]);
   });
 
   it("causes its engine to count as lost when it does not find it in time", async () => {
     const { daemon, lost } = await connected();
     const sending = setInterval(() => {
-      daemon.tell(telling.state(""));
+      daemon.tell(fakeEndpointDaemon.state(""));
     }, 100);
     cleanups.push(() => {
       clearInterval(sending);
     });
-    daemon.restart(telling.state(""));
-    await engines.until(() => lost.length > 0);
+    daemon.restart(fakeEndpointDaemon.state(""));
+    await managedEngines.eventually(() => lost.length > 0);
     expect(lost).deep.equal(["i1"]);
   });
 
   it("causes its engine to count as lost at once when it had reported it before", async () => {
     const { daemon, lost } = await connected();
-    daemon.tell(telling.state(""));
-    await engines.until(() => lost.length > 0);
+    daemon.tell(fakeEndpointDaemon.state(""));
+    await managedEngines.eventually(() => lost.length > 0);
     expect(lost).deep.equal(["i1"]);
   });
 });
--- a/test/serving/telling.ts
+++ b/test/serving/fake-endpoint-daemon.ts
@@ -4,24 +4,24 @@
  */
 import * as net from "node:net";
 import * as addresses from "../../src/host/address.js";
-import type * as seat from "../../src/serving/seat.js";
+import type * as seatMessages from "../../src/serving/seat-messages.js";
 import * as fixtures from "./fixtures.js";
 
 /** The `silenceMs` that it announces, long enough that no link counts it as lost during a test. */
 const SILENCE_MS = 10_000;
 
 /** The state of an idle engine. */
-export function state(instance: string): seat.State {
+export function state(instance: string): seatMessages.State {
   return { ...fixtures.STATE, instance, silenceMs: SILENCE_MS };
 }
 
 /** The holdings of an engine with the model `m` and some adapters, by key. */
-export function holdings(...resident: readonly string[]): seat.Holdings {
+export function holdings(...resident: readonly string[]): seatMessages.Holdings {
   return { kind: "holdings", models: ["m"], resident, gone: [], reach: 0 };
 }
 
 /** Starts one; it sends `first` on each new connection. */
-export async function open(...first: readonly seat.FromEndpoint[]) {
+export async function open(...first: readonly seatMessages.FromEndpoint[]) {
   let greeting = first;
   const heard: string[] = [];
   const sockets = new Set<net.Socket>();
@@ -29,7 +29,7 @@
     sockets.add(socket);
     socket.on("data", (part: Buffer) => {
       const messages = part.toString().trim().split("\n");
-      heard.push(...messages.map((m) => (JSON.parse(m) as seat.FromEntry).kind));
+      heard.push(...messages.map((m) => (JSON.parse(m) as seatMessages.FromEntry).kind));
     });
     socket.on("error", () => socket.destroy());
     socket.write(encode(greeting));
@@ -40,11 +40,11 @@
     /** Kinds of the messages that it received, in order. */
     heard,
     /** Sends messages on all connections. */
-    tell: (...messages: readonly seat.FromEndpoint[]): void => {
+    tell: (...messages: readonly seatMessages.FromEndpoint[]): void => {
       for (const s of sockets) s.write(encode(messages));
     },
     /** Ends all connections, as a restart does, and sends `again` on each new one. */
-    restart: (...again: readonly seat.FromEndpoint[]): void => {
+    restart: (...again: readonly seatMessages.FromEndpoint[]): void => {
       greeting = again;
       for (const s of sockets) s.destroy();
       sockets.clear();
@@ -57,6 +57,6 @@
 }
 
 /** Encodes messages as JSON lines. */
-function encode(messages: readonly seat.FromEndpoint[]): string {
+function encode(messages: readonly seatMessages.FromEndpoint[]): string {
   return messages.map((m) => `${JSON.stringify(m)}\n`).join("");
 }
--- a/test/serving/fake-engine.ts
+++ b/test/serving/fake-engine.ts
@@ -10,40 +10,40 @@
 const LOAD_MS = 15;
 
 /** What happens to the next orders. */
-export type Mood = "well" | "answer lost" | "late" | "out";
+export type OrderBehaviour = "well" | "answer lost" | "late" | "out";
 
 export class FakeEngine implements engine.Engine {
-  mood: Mood = "well";
+  behaviour: OrderBehaviour = "well";
   instance = "i1";
   /** Unix ms of its start; undefined if it does not report it. */
-  born: number | undefined;
+  startedAt: number | undefined;
   /** Number of orders accepted. */
   sequence = 0;
   /** Largest number of adapters that were held or loading at the same time. */
-  most = 0;
+  peakHeld = 0;
   readonly held = new Map<string, { version: number; ready: boolean }>();
   readonly orders: string[] = [];
   /** Version that a load without a version gets. */
-  newest = 1;
+  newestVersion = 1;
   /** Whether the base model is loaded. */
   hasModel = true;
   /** Base models that it can load without the weight store. */
-  nearby: readonly string[] = [];
+  localModels: readonly string[] = [];
   /** Milliseconds for which the old version is still listed after the order to replace it. */
   replaceMs = 0;
   /** Monotonic ms until which it refuses orders, as if busy with another. */
   busyUntil = 0;
   /** Milliseconds for which an adapter is still listed after its unload was accepted. */
-  lingerMs = 0;
+  unloadDelayMs = 0;
 
   /** Notice in its reports. */
   notice = notices.EMPTY;
 
   report = (): Promise<engine.Report> => {
-    if (this.mood === "out") return Promise.reject(new Error("connection refused"));
+    if (this.behaviour === "out") return Promise.reject(new Error("connection refused"));
     const adapters = [...this.held];
     return Promise.resolve({
-      nearby: this.nearby,
+      localModels: this.localModels,
       notice: this.notice,
       models: [
         ...(this.hasModel
@@ -61,7 +61,7 @@
       pending: adapters
         .filter(([, a]) => !a.ready)
         .map(([adapter, a]) => ({ model: "m", adapter, version: a.version })),
-      born: this.born,
+      born: this.startedAt,
       busy: false,
       sequence: this.sequence,
       queued: 0,
@@ -70,13 +70,13 @@
   };
 
   identify = (): Promise<string> =>
-    this.mood === "out"
+    this.behaviour === "out"
       ? Promise.reject(new Error("connection refused"))
       : Promise.resolve(this.instance);
 
   order = (o: engine.Order): Promise<engine.OrderResult> => {
     this.orders.push(`${o.kind} ${o.adapter ?? ""}`);
-    switch (this.mood) {
+    switch (this.behaviour) {
       case "out":
         return Promise.resolve({ kind: "unanswered", why: "out" });
       case "late":
@@ -114,20 +114,20 @@
       return { kind: "accepted", done: false };
     }
     if (o.kind === "unload") {
-      if (this.lingerMs > 0) setTimeout(() => this.held.delete(adapter), this.lingerMs);
+      if (this.unloadDelayMs > 0) setTimeout(() => this.held.delete(adapter), this.unloadDelayMs);
       else this.held.delete(adapter);
       return { kind: "accepted", done: true };
     }
     if (this.held.has(adapter) && this.replaceMs > 0) {
       setTimeout(
-        () => this.held.set(adapter, { version: this.newest, ready: true }),
+        () => this.held.set(adapter, { version: this.newestVersion, ready: true }),
         this.replaceMs,
       );
       return { kind: "accepted", done: false };
     }
-    const loading = { version: o.version ?? this.newest, ready: false };
+    const loading = { version: o.version ?? this.newestVersion, ready: false };
     this.held.set(adapter, loading);
-    this.most = Math.max(this.most, this.held.size);
+    this.peakHeld = Math.max(this.peakHeld, this.held.size);
     setTimeout(() => {
       loading.ready = true;
     }, LOAD_MS);
--- a/test/serving/fixtures.ts
+++ b/test/serving/fixtures.ts
@@ -10,7 +10,7 @@
 import * as notices from "../../src/serving/notices.js";
 import type * as protocol from "../../src/serving/protocol.js";
 import type * as residency from "../../src/serving/residency.js";
-import type * as seat from "../../src/serving/seat.js";
+import type * as seatMessages from "../../src/serving/seat-messages.js";
 
 export const ROUTE: catalog.Route = {
   name: "captions",
@@ -97,7 +97,7 @@
 }
 
 /** The state of an idle engine. */
-export const STATE: seat.State = {
+export const STATE: seatMessages.State = {
   kind: "state",
   instance: "x",
   waitMs: new Array<number>(10).fill(0),
@@ -117,11 +117,11 @@
 export function residencyOf(slots: number): residency.Options {
   return {
     slots,
-    loads: 2,
-    coldLoads: 2,
+    maxLoads: 2,
+    maxColdLoads: 2,
     isWarm: () => false,
     closeAfterMs: 100,
-    outdatedMs: 500,
+    outdatedUseMs: 500,
   };
 }
 
--- a/test/serving/host-count.test.ts
+++ b/test/serving/host-count.test.ts
@@ -1,9 +1,9 @@
 import * as chai from "chai";
 import * as catalog from "../../src/serving/catalog.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as fixtures from "./fixtures.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 const { expect } = chai;
 
@@ -13,8 +13,8 @@
 
 describe("the number of hosts that share a total", () => {
   it("is unknown until an endpoint daemon reports it, and does not drop when hosts or that daemon are lost", async () => {
-    const counting = (entries: number) => ({ ...telling.state("e0"), entries });
-    const daemon = await telling.open(counting(MANY), telling.holdings());
+    const counting = (entries: number) => ({ ...fakeEndpointDaemon.state("e0"), entries });
+    const daemon = await fakeEndpointDaemon.open(counting(MANY), fakeEndpointDaemon.holdings());
     const e = fixtures.endpoint("e0", "127.0.0.1:1");
     const at: catalog.Catalog = {
       ...catalog.EMPTY,
@@ -25,13 +25,13 @@
     try {
       expect(known.mostHosts()).equal(undefined);
       const link = known.link(e);
-      await engines.until(() => link.isHeard);
+      await managedEngines.eventually(() => link.isHeard);
       expect(known.mostHosts()).equal(MANY);
       daemon.tell(counting(FEW));
-      await engines.until(() => link.state?.entries === FEW);
+      await managedEngines.eventually(() => link.state?.entries === FEW);
       expect(known.mostHosts()).equal(MANY);
       daemon.close();
-      await engines.until(() => !link.isConnected);
+      await managedEngines.eventually(() => !link.isConnected);
       expect(known.mostHosts()).equal(MANY);
     } finally {
       close();
--- a/test/serving/incarnation.test.ts
+++ b/test/serving/incarnation.test.ts
@@ -5,9 +5,9 @@
 import * as incarnation from "../../src/serving/incarnation.js";
 import * as choice from "../../src/serving/choice.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as fixtures from "./fixtures.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 const { expect } = chai;
 
@@ -82,41 +82,44 @@
 });
 
 describe("an engine that restarts under its old name", () => {
-  afterEach(engines.endAll);
+  afterEach(managedEngines.endAll);
 
   it("is met anew though its count of orders has not fallen, and holds what it then says", async () => {
-    const s = await engines.site("i1", 2);
-    s.engine.born = 1;
-    await engines.until(() => s.link.state?.instance === incarnation.idOf("i1", 1));
-    const first = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start("i1", 2);
+    s.engine.startedAt = 1;
+    await managedEngines.eventually(() => s.link.state?.instance === incarnation.idOf("i1", 1));
+    const first = s.link.ask(managedEngines.seatRequest("a"));
     expect(await first.answer).include({ kind: "grant" });
     first.release("whole");
     // The new incarnation has taken as many orders as the old one, and holds another adapter.
     s.engine.held.clear();
     s.engine.held.set("b", { version: 1, ready: true });
-    s.engine.born = 2;
-    await engines.until(() => s.link.state?.instance === incarnation.idOf("i1", 2));
+    s.engine.startedAt = 2;
+    await managedEngines.eventually(() => s.link.state?.instance === incarnation.idOf("i1", 2));
     expect(s.lost).include(incarnation.idOf("i1", 1));
-    await engines.until(() => s.link.holdings?.resident.includes("m/b") ?? false);
+    await managedEngines.eventually(() => s.link.holdings?.resident.includes("m/b") ?? false);
     expect(s.link.holdings?.resident).not.include("m/a");
     await clock.sleep(clock.system, 50);
-    expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant" });
-    expect(s.engine.most).most(2);
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).include({ kind: "grant" });
+    expect(s.engine.peakHeld).most(2);
   });
 
   it("is recognized as new when it begins to report its start time", async () => {
-    const s = await engines.site("i1", 2);
-    s.engine.born = 7;
-    await engines.until(() => s.link.state?.instance === incarnation.idOf("i1", 7));
-    expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant" });
+    const s = await managedEngines.start("i1", 2);
+    s.engine.startedAt = 7;
+    await managedEngines.eventually(() => s.link.state?.instance === incarnation.idOf("i1", 7));
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).include({ kind: "grant" });
   });
 });
 
 describe("an entry daemon", () => {
   it("uses a restarted worker once its entry and its endpoint daemon name the same start time", async () => {
     const [old, next] = [incarnation.idOf("w", 1), incarnation.idOf("w", 2)];
-    const daemon = await telling.open(telling.state(old), telling.holdings("m/a"));
-    let at: catalog.Catalog = { ...catalog.EMPTY, config: engines.configOf(2) };
+    const daemon = await fakeEndpointDaemon.open(
+      fakeEndpointDaemon.state(old),
+      fakeEndpointDaemon.holdings("m/a"),
+    );
+    let at: catalog.Catalog = { ...catalog.EMPTY, config: managedEngines.configOf(2) };
     const made = dispatcherFixture.create(
       () => at,
       () => daemon.address,
@@ -132,20 +135,20 @@
       at = catalog.step(at, entry(1));
       made.known.refresh();
       made.known.watch(old, () => lost++);
-      await engines.until(() => usable().includes(`${old} resident`));
+      await managedEngines.eventually(() => usable().includes(`${old} resident`));
       // The endpoint daemon reports the new incarnation before the store does.
-      daemon.tell(telling.state(next), telling.holdings());
-      await engines.until(() => lost === 1);
+      daemon.tell(fakeEndpointDaemon.state(next), fakeEndpointDaemon.holdings());
+      await managedEngines.eventually(() => lost === 1);
       expect(usable()).deep.equal([]);
       at = catalog.step(at, entry(2));
       expect(usable()).deep.equal([`${next} absent`]);
       // Late updates of the old incarnation, from the store and from its endpoint daemon.
       at = catalog.step(at, entry(1, true));
       expect(usable()).deep.equal([`${next} absent`]);
-      daemon.tell(telling.state(old));
-      await engines.until(() => usable().length === 0);
-      daemon.tell(telling.state(next), telling.holdings());
-      await engines.until(() => usable().includes(`${next} absent`));
+      daemon.tell(fakeEndpointDaemon.state(old));
+      await managedEngines.eventually(() => usable().length === 0);
+      daemon.tell(fakeEndpointDaemon.state(next), fakeEndpointDaemon.holdings());
+      await managedEngines.eventually(() => usable().includes(`${next} absent`));
     } finally {
       made.close();
       daemon.close();
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -5,7 +5,7 @@
 import * as incarnation from "../../src/serving/incarnation.js";
 import type * as noticeMessages from "../../src/serving/notice-messages.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as fixtures from "./fixtures.js";
 import * as waitingStream from "./waiting-stream.js";
 
@@ -69,7 +69,7 @@
 describe("a leaving endpoint", () => {
   afterEach(() => {
     waitingStream.closeAll();
-    engines.endAll();
+    managedEngines.endAll();
     for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
@@ -124,7 +124,7 @@
     const waits = await waitingStream.begin({ route: { targetMs: 1000, timeoutMs: 1500 } });
     const began = performance.now();
     waits.notices.merge(leaving(waits.endpoint.id), "10.0.0.9:1");
-    await engines.until(() => waits.daemon.heard.includes("over"));
+    await managedEngines.eventually(() => waits.daemon.heard.includes("over"));
     expect(performance.now() - began).below(100);
     expect(await waits.ended()).include({ runs: 0 });
   });
@@ -146,16 +146,16 @@
 });
 
 describe("an endpoint daemon whose engine leaves", () => {
-  afterEach(engines.endAll);
+  afterEach(managedEngines.endAll);
 
   it("gives no seat and no order more, and tells entry daemons", async () => {
-    const s = await engines.site("i1", 1);
-    const held = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start("i1", 1);
+    const held = s.link.ask(managedEngines.seatRequest("a"));
     await held.answer;
-    const waits = s.link.ask(engines.wish("b"));
+    const waits = s.link.ask(managedEngines.seatRequest("b"));
     s.engine.notice = { ...s.engine.notice, leaving: { kind: "said", value: true } };
     expect(await waits.answer).deep.equal({ kind: "deny", reason: "leaving" });
-    const late = s.link.ask(engines.wish("c"));
+    const late = s.link.ask(managedEngines.seatRequest("c"));
     expect(await late.answer).deep.equal({ kind: "deny", reason: "leaving" });
     held.release("whole");
     await timers.setTimeout(100);
@@ -164,10 +164,10 @@
   });
 
   it("learns so from entry daemons as well", async () => {
-    const s = await engines.site("i1", 1);
+    const s = await managedEngines.start("i1", 1);
     s.link.send(leaving("i1"));
-    await engines.until(() => s.notices.isLeaving("i1"));
-    expect(await s.link.ask(engines.wish("a")).answer).deep.equal({
+    await managedEngines.eventually(() => s.notices.isLeaving("i1"));
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).deep.equal({
       kind: "deny",
       reason: "leaving",
     });
--- a/test/serving/engines.ts
+++ b/test/serving/managed-engines.ts
@@ -7,8 +7,8 @@
 import * as limiterOwner from "../../src/serving/limiter-owner.js";
 import * as noticeRelay from "../../src/serving/notice-relay.js";
 import * as catalog from "../../src/serving/catalog.js";
-import * as desk from "../../src/serving/desk.js";
-import * as keeper from "../../src/serving/keeper.js";
+import * as seatServer from "../../src/serving/seat-server.js";
+import * as engineManager from "../../src/serving/engine-manager.js";
 import type * as link from "../../src/serving/link.js";
 import * as suspicionRelay from "../../src/serving/suspicion-relay.js";
 import * as ports from "../../bench/platform/ports.js";
@@ -36,7 +36,7 @@
 }
 
 /** A catalog with the given endpoints, whose engines have one slot each, and their service. */
-export function known(list: readonly catalog.Endpoint[]): {
+export function catalogOf(list: readonly catalog.Endpoint[]): {
   readonly at: catalog.Catalog;
   readonly service: catalog.Service;
 } {
@@ -47,7 +47,7 @@
 }
 
 /** Starts an engine manager on a fake engine, with its server and one entry daemon's link to it. */
-export async function site(instance = "i1", slots = 2) {
+export async function start(instance = "i1", slots = 2) {
   const engine = new fakes.FakeEngine();
   engine.instance = instance;
   let turns = 0;
@@ -56,9 +56,9 @@
     config: configOf(slots),
   };
   const notices = new noticeRelay.NoticeRelay(clock.system, () => {
-    manager.noticed();
+    manager.noticesChanged();
   });
-  const manager: keeper.Keeper = new keeper.Keeper({
+  const manager: engineManager.EngineManager = new engineManager.EngineManager({
     clock: clock.system,
     log: record.silent,
     engine,
@@ -76,12 +76,12 @@
   const suspicions = new suspicionRelay.SuspicionRelay({ clock: clock.system, log: record.silent });
   const parts = {
     log: record.silent,
-    keeper: manager,
+    engineManager: manager,
     relay: suspicions,
     limiter: new limiterOwner.LimiterOwner({ clock: clock.system, log: record.silent }),
     notices,
   };
-  const open = () => desk.open(address, parts);
+  const open = () => seatServer.listen(address, parts);
   let server = await open();
   const { made, lost, told } = links.open(address);
   void manager.run();
@@ -90,20 +90,20 @@
     server.close();
     manager.stop();
   });
-  await until(() => made.state?.instance === engine.instance);
+  await eventually(() => made.state?.instance === engine.instance);
   return {
     engine,
     address,
     notices,
-    keeper: manager,
+    engineManager: manager,
     link: made,
     lost,
     told,
     turns: () => turns,
     declare: (adapter: string, version: number) => {
       at = catalog.step(at, { kind: "version", key: `m/${adapter}`, version });
-      engine.newest = version;
-      manager.heard();
+      engine.newestVersion = version;
+      manager.catalogChanged();
     },
     closeDoor: () => {
       server.close();
@@ -115,7 +115,7 @@
 }
 
 /** Waits until a condition holds; fails after 4 s. */
-export async function until(what: () => boolean): Promise<void> {
+export async function eventually(what: () => boolean): Promise<void> {
   for (let i = 0; i < 400; i++) {
     if (what()) return;
     await clock.sleep(clock.system, 10);
@@ -124,7 +124,7 @@
 }
 
 /** What an entry daemon asks for a seat on `adapter` with. */
-export function wish(adapter: string, leftMs = 3000): link.SeatRequest {
+export function seatRequest(adapter: string, leftMs = 3000): link.SeatRequest {
   return {
     request: adapter,
     model: "m",
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -4,7 +4,7 @@
 import * as clock from "../../src/host/clock.js";
 import type * as callerRequest from "../../src/serving/caller-request.js";
 import * as catalog from "../../src/serving/catalog.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
 import * as fixtures from "./fixtures.js";
 import * as waitingStream from "./waiting-stream.js";
@@ -88,7 +88,7 @@
 describe("requests to a worker that asks for a pause", () => {
   afterEach(() => {
     waitingStream.closeAll();
-    engines.endAll();
+    managedEngines.endAll();
     for (const cleanup of cleanups.splice(0)) cleanup();
   });
 
@@ -167,7 +167,7 @@
       sentAt: began,
       ran: false,
     });
-    await engines.until(() => waits.daemon.heard.includes("over"));
+    await managedEngines.eventually(() => waits.daemon.heard.includes("over"));
     expect(performance.now() - began).below(100);
     expect(await waits.ended()).include({ runs: 0 });
   });
--- a/test/serving/presumed-gone.test.ts
+++ b/test/serving/presumed-gone.test.ts
@@ -3,9 +3,9 @@
 import type * as catalog from "../../src/serving/catalog.js";
 import type * as retryBudget from "../../src/serving/retry-budget.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as fixtures from "./fixtures.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 const { expect } = chai;
 
@@ -23,13 +23,18 @@
     res.write("id: 1\ndata: x\n\n");
     finishStream = () => res.end("id: 2\ndata: x\n\n");
   });
-  const daemon = await telling.open(telling.state("i1"), telling.holdings("m/a"));
-  const { at, service } = engines.known([fixtures.endpoint("i1", worker.address)]);
+  const daemon = await fakeEndpointDaemon.open(
+    fakeEndpointDaemon.state("i1"),
+    fakeEndpointDaemon.holdings("m/a"),
+  );
+  const { at, service } = managedEngines.catalogOf([fixtures.endpoint("i1", worker.address)]);
   const args = [() => daemon.address, clock.system, fixtures.WIRE] as const;
   const setup = dispatcherFixture.create(at, ...args, () => ({ kind: "open" }), budget);
   try {
     setup.known.refresh();
-    await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
+    await managedEngines.eventually(() =>
+      setup.known.views(service).every((v) => v.holdings !== undefined),
+    );
     const { outlet, seen } = dispatcherFixture.recorded();
     const kind = { kind: "stream", resumable: true, timeoutMs: 2000, attempts } as const;
     const route: catalog.Route = { ...fixtures.ROUTE, ...kind };
@@ -37,11 +42,13 @@
       dispatcherFixture.streamRequest(service, route, 2000),
       outlet,
     );
-    await engines.until(() => daemon.heard.includes("ask"));
+    await managedEngines.eventually(() => daemon.heard.includes("ask"));
     daemon.tell({ kind: "grant", seat: 0, instance: "i1", version: 1 });
-    await engines.until(() => seen.length > 0);
-    daemon.tell(telling.state(""));
-    await engines.until(() => setup.known.views(service).every((v) => v.state?.instance === ""));
+    await managedEngines.eventually(() => seen.length > 0);
+    daemon.tell(fakeEndpointDaemon.state(""));
+    await managedEngines.eventually(() =>
+      setup.known.views(service).every((v) => v.state?.instance === ""),
+    );
     finishStream();
     await served;
     return seen;
--- a/test/serving/queue.test.ts
+++ b/test/serving/queue.test.ts
@@ -2,9 +2,9 @@
 import * as generators from "pure-rand/generator/xoroshiro128plus";
 import * as uniform from "pure-rand/distribution/uniformFloat64";
 import * as backlog from "../../src/serving/backlog.js";
-import * as reading from "../../src/serving/reading.js";
+import * as prefillSpeed from "../../src/serving/prefill-speed.js";
 import * as residency from "../../src/serving/residency.js";
-import type * as waiting from "../../src/serving/waiting.js";
+import type * as seatQueue from "../../src/serving/seat-queue.js";
 import * as fixtures from "./fixtures.js";
 
 const { expect } = chai;
@@ -67,13 +67,13 @@
   const firsts = new Map<string, number>();
   const events: { at: number; id: string; sentAt: number }[] = [];
   let state: residency.State = { ...residency.empty(), models: [MODEL] };
-  let load = backlog.IDLE;
+  let load = backlog.EMPTY;
   /** Time at which the engine has read all prompts that were sent to it. */
   let engineFreeAt = 0;
   const send = (id: string, now: number): void => {
     const r = byId.get(id);
     if (!r) return;
-    load = backlog.given(load, id, now);
+    load = backlog.grantSeat(load, id, now);
     engineFreeAt = Math.max(now, engineFreeAt) + r.tokens / perMs;
     events.push({ at: engineFreeAt + FIRST_MS, id, sentAt: now });
   };
@@ -81,34 +81,34 @@
     while (queue[0] && queue[0].at <= now) {
       const r = queue.shift();
       if (!r) break;
-      load = backlog.asked(load, r.id, r.tokens, 1);
+      load = backlog.addSeat(load, r.id, r.tokens, 1);
       if (atOnce) {
         send(r.id, now);
         continue;
       }
-      const waiter: waiting.Waiter = {
+      const waiter: seatQueue.Waiter = {
         seat: r.id,
         key: MODEL,
         model: MODEL,
         rank: 1,
-        since: now,
-        ownMs: reading.expectedMs(load.reading, r.tokens),
+        askedAt: now,
+        serviceMs: prefillSpeed.firstEventMs(load.speed, r.tokens),
         targetAt: r.at + r.targetMs,
-        dueAt: r.at + 6000,
+        expiresAt: r.at + 6000,
       };
-      state = residency.ask(state, waiter, now);
+      state = residency.addWaiter(state, waiter, now);
     }
     for (const e of events.filter((x) => x.at <= now)) {
       events.splice(events.indexOf(e), 1);
       firsts.set(e.id, now);
-      load = backlog.over(backlog.began(load, e.id, now - e.sentAt, now), e.id);
+      load = backlog.removeSeat(backlog.recordFirstEvent(load, e.id, now - e.sentAt, now), e.id);
     }
-    const engine = { ms: backlog.readingMs(load, now), unbegun: backlog.unbegun(load, now) };
-    for (const a of residency.seats(state, now, OPTS, engine)) {
+    const engine = { ms: backlog.prefillMs(load, now), unstarted: backlog.unstarted(load, now) };
+    for (const a of residency.seatActions(state, now, OPTS, engine)) {
       if (a.kind !== "grant" && a.kind !== "expire") continue;
-      state = residency.answered(state, a.waiter.seat);
+      state = residency.removeWaiter(state, a.waiter.seat);
       if (a.kind === "grant") send(a.waiter.seat, now);
-      else load = backlog.over(load, a.waiter.seat);
+      else load = backlog.removeSeat(load, a.waiter.seat);
     }
   }
   return outcomeOf([...byId.values()], firsts);
--- a/test/serving/residency.test.ts
+++ b/test/serving/residency.test.ts
@@ -1,9 +1,9 @@
 import * as chai from "chai";
 import * as fc from "fast-check";
-import * as looks from "../../src/serving/looks.js";
+import * as polling from "../../src/serving/polling.js";
 import * as residency from "../../src/serving/residency.js";
-import type * as waiting from "../../src/serving/waiting.js";
-import * as warmth from "../../src/serving/warmth.js";
+import type * as seatQueue from "../../src/serving/seat-queue.js";
+import * as loadHistory from "../../src/serving/load-history.js";
 import * as fixtures from "./fixtures.js";
 
 const { expect } = chai;
@@ -11,17 +11,17 @@
 const OPTS = fixtures.residencyOf(3);
 const MODEL = "base";
 
-function waiter(seat: string, adapter: string | undefined, since: number): waiting.Waiter {
+function waiter(seat: string, adapter: string | undefined, since: number): seatQueue.Waiter {
   return {
     seat,
     key: adapter === undefined ? MODEL : `${MODEL}/${adapter}`,
     model: MODEL,
     adapter,
     rank: 1,
-    since,
-    ownMs: 100,
+    askedAt: since,
+    serviceMs: 100,
     targetAt: since + 1000,
-    dueAt: since + 5000,
+    expiresAt: since + 5000,
   };
 }
 
@@ -33,14 +33,14 @@
     version: 1,
     phase: "resident",
     pins: 0,
-    since: 0,
+    phaseSince: 0,
     ...over,
   };
 }
 
 function holding(...slots: readonly residency.Slot[]): residency.State {
   const start: residency.State = { ...residency.empty(), models: [MODEL] };
-  return slots.reduce(residency.put, start);
+  return slots.reduce(residency.putSlot, start);
 }
 
 /** A simulated engine and its seats. */
@@ -57,15 +57,19 @@
 
 /** Grants and denies seats as the state allows. */
 function settleSeats(sim: Simulation): void {
-  for (const a of residency.seats(sim.state, sim.now, OPTS)) {
+  for (const a of residency.seatActions(sim.state, sim.now, OPTS)) {
     if (a.kind === "grant") {
       const s = sim.state.slots.get(a.waiter.key);
       expect(a.waiter.adapter === undefined || s?.phase === "resident").equal(true);
-      sim.state = residency.pin(residency.answered(sim.state, a.waiter.seat), a.waiter.key, 1);
+      sim.state = residency.addPin(
+        residency.removeWaiter(sim.state, a.waiter.seat),
+        a.waiter.key,
+        1,
+      );
       sim.running.set(a.waiter.seat, a.waiter.key);
       sim.granted.add(a.waiter.seat);
     } else if (a.kind === "expire") {
-      sim.state = residency.answered(sim.state, a.waiter.seat);
+      sim.state = residency.removeWaiter(sim.state, a.waiter.seat);
       sim.expired.add(a.waiter.seat);
     }
   }
@@ -73,18 +77,25 @@
 
 /** Carries out the next order; returns false if there is none. */
 function carryOutOrder(sim: Simulation): boolean {
-  const a = residency.order(sim.state, sim.now, OPTS);
+  const a = residency.nextOrder(sim.state, sim.now, OPTS);
   if (!a) return false;
   switch (a.kind) {
     case "load":
-      sim.state = residency.put(sim.state, slot(a.adapter, { phase: "loading", since: sim.now }));
+      sim.state = residency.putSlot(
+        sim.state,
+        slot(a.adapter, { phase: "loading", phaseSince: sim.now }),
+      );
       break;
     case "unload":
       expect(a.slot.pins).equal(0);
-      sim.state = residency.drop(sim.state, a.slot.key);
+      sim.state = residency.removeSlot(sim.state, a.slot.key);
       break;
     case "close":
-      sim.state = residency.put(sim.state, { ...a.slot, phase: "closing", since: sim.now });
+      sim.state = residency.putSlot(sim.state, {
+        ...a.slot,
+        phase: "closing",
+        phaseSince: sim.now,
+      });
       break;
     case "grant":
     case "expire":
@@ -97,7 +108,8 @@
 /** Finishes all loads in progress. */
 function finishLoads(sim: Simulation): void {
   for (const s of sim.state.slots.values()) {
-    if (s.phase === "loading") sim.state = residency.put(sim.state, { ...s, phase: "resident" });
+    if (s.phase === "loading")
+      sim.state = residency.putSlot(sim.state, { ...s, phase: "resident" });
   }
 }
 
@@ -106,7 +118,7 @@
   const [first] = sim.running;
   if (!first) return;
   sim.running.delete(first[0]);
-  sim.state = residency.pin(sim.state, first[1], -1);
+  sim.state = residency.addPin(sim.state, first[1], -1);
 }
 
 /** Simulates one step, and the decisions after it. */
@@ -114,7 +126,7 @@
   sim.now += 20;
   if (step.startsWith("ask")) {
     const seat = `s${sim.next++}`;
-    sim.state = residency.ask(sim.state, waiter(seat, step.slice(4), sim.now), sim.now);
+    sim.state = residency.addWaiter(sim.state, waiter(seat, step.slice(4), sim.now), sim.now);
   }
   if (step === "end") endSeat(sim);
   if (step === "loaded") finishLoads(sim);
@@ -149,72 +161,82 @@
   });
 
   it("grants a seat for the base model without a slot", () => {
-    const s = residency.ask(holding(), waiter("s", undefined, 0), 0);
-    expect(residency.seats(s, 0, OPTS).map((a) => a.kind)).deep.equal(["grant"]);
+    const s = residency.addWaiter(holding(), waiter("s", undefined, 0), 0);
+    expect(residency.seatActions(s, 0, OPTS).map((a) => a.kind)).deep.equal(["grant"]);
   });
 
   it("loads adapters first for requests that can still be on time", () => {
     const late = { ...waiter("late", "a", 0), targetAt: 10 };
     const early = waiter("early", "b", 50);
-    let s = residency.ask(holding(slot("x", { phase: "loading" })), late, 0);
-    s = residency.ask(s, early, 50);
-    const a = residency.order(s, 60, OPTS);
+    let s = residency.addWaiter(holding(slot("x", { phase: "loading" })), late, 0);
+    s = residency.addWaiter(s, early, 50);
+    const a = residency.nextOrder(s, 60, OPTS);
     expect(a).include({ kind: "load", adapter: "b" });
   });
 
   it("unloads the adapter that was asked for least lately", () => {
     let s = holding(slot("a"), slot("b"), slot("c"));
     for (const adapter of ["a", "c"]) {
-      s = residency.answered(residency.ask(s, waiter("s", adapter, 0), 0), "s");
+      s = residency.removeWaiter(residency.addWaiter(s, waiter("s", adapter, 0), 0), "s");
     }
-    s = residency.ask(s, waiter("w", "d", 10), 10);
-    expect(residency.order(s, 10, OPTS)).deep.include({ kind: "unload", slot: slot("b") });
+    s = residency.addWaiter(s, waiter("w", "d", 10), 10);
+    expect(residency.nextOrder(s, 10, OPTS)).deep.include({ kind: "unload", slot: slot("b") });
   });
 
   it("closes a slot in use only for a request that has waited long enough", () => {
     const used = [slot("a", { pins: 1 }), slot("b", { pins: 1 }), slot("c", { pins: 1 })];
-    const s = residency.ask(holding(...used), waiter("w", "d", 0), 0);
-    expect(residency.order(s, 50, OPTS)).equal(undefined);
-    expect(residency.order(s, 150, OPTS)?.kind).equal("close");
+    const s = residency.addWaiter(holding(...used), waiter("w", "d", 0), 0);
+    expect(residency.nextOrder(s, 50, OPTS)).equal(undefined);
+    expect(residency.nextOrder(s, 150, OPTS)?.kind).equal("close");
   });
 
   it("grants seats on an outdated version for a limited time, then waits for the new one", () => {
     const old = slot("a", { pins: 1 });
-    const s = residency.ask(
-      residency.declare(holding(old), old.key, 2, 0),
+    const s = residency.addWaiter(
+      residency.declareVersion(holding(old), old.key, 2, 0),
       waiter("w", "a", 10),
       10,
     );
-    expect(residency.seats(s, 100, OPTS).map((a) => a.kind)).deep.equal(["grant"]);
-    expect(residency.seats(s, 600, OPTS)).deep.equal([]);
-    const idle = residency.pin(s, old.key, -1);
-    expect(residency.order(idle, 100, OPTS)).include({ kind: "load", adapter: "a", version: 2 });
+    expect(residency.seatActions(s, 100, OPTS).map((a) => a.kind)).deep.equal(["grant"]);
+    expect(residency.seatActions(s, 600, OPTS)).deep.equal([]);
+    const idle = residency.addPin(s, old.key, -1);
+    expect(residency.nextOrder(idle, 100, OPTS)).include({
+      kind: "load",
+      adapter: "a",
+      version: 2,
+    });
   });
 
   it("keeps slots that changed after a report was requested", () => {
-    const s = holding(slot("a", { phase: "loading", since: 100 }), slot("b", { since: 0 }));
+    const s = holding(
+      slot("a", { phase: "loading", phaseSince: 100 }),
+      slot("b", { phaseSince: 0 }),
+    );
     const at = residency.reconcile(s, [MODEL], [], 50);
     expect([...at.slots.keys()]).deep.equal([`${MODEL}/a`]);
   });
 
   it("counts a loading slot as taken", () => {
     const s = holding(slot("a", { phase: "loading" }), slot("b", { pins: 1 }), slot("c"));
-    expect(residency.room(s, 3)).deep.equal({ free: 1, wanted: 0 });
+    expect(residency.slotDemand(s, 3)).deep.equal({ free: 1, wanted: 0 });
   });
 });
 
 describe("polling", () => {
   it("happens when a load may be finished, and rarely while nothing changes", () => {
-    const idle = looks.next(holding(slot("a")), warmth.UNKNOWN, 1000);
-    const state = holding(slot("a"), slot("b", { phase: "loading", since: 990 }));
-    const w = { ...warmth.UNKNOWN, coldMs: 200, warmMs: 20 };
-    expect(looks.next(state, w, 1000)).within(1120, 1190);
-    expect(looks.next(state, warmth.held(w, `${MODEL}/b`), 1000)).within(1005, 1030);
-    expect(looks.next(state, w, 1180)).within(1185, 1200);
+    const idle = polling.nextPollAt(holding(slot("a")), loadHistory.INITIAL, 1000);
+    const state = holding(slot("a"), slot("b", { phase: "loading", phaseSince: 990 }));
+    const w = { ...loadHistory.INITIAL, coldMs: 200, warmMs: 20 };
+    expect(polling.nextPollAt(state, w, 1000)).within(1120, 1190);
+    expect(polling.nextPollAt(state, loadHistory.recordHeld(w, `${MODEL}/b`), 1000)).within(
+      1005,
+      1030,
+    );
+    expect(polling.nextPollAt(state, w, 1180)).within(1185, 1200);
     expect(idle).above(1200);
   });
 
   it("is frequent while the engine has no base model, as after a power failure, when all requests wait for it", () => {
-    expect(looks.next(residency.empty(), warmth.UNKNOWN, 1000)).within(1010, 1050);
+    expect(polling.nextPollAt(residency.empty(), loadHistory.INITIAL, 1000)).within(1010, 1050);
   });
 });
--- a/test/serving/seat-waiting.test.ts
+++ b/test/serving/seat-waiting.test.ts
@@ -2,20 +2,20 @@
 import * as catalog from "../../src/serving/catalog.js";
 import type * as link from "../../src/serving/link.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as fixtures from "./fixtures.js";
 import * as links from "./links.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 const { expect } = chai;
 
 const ROUTE: catalog.Route = { ...fixtures.ROUTE, kind: "stream", targetMs: 2000, timeoutMs: 4000 };
 
 describe("a waiting request", () => {
-  afterEach(engines.endAll);
+  afterEach(managedEngines.endAll);
 
   it("moves to an engine that would take it sooner", async () => {
-    const sites = [await engines.site("i1", 1), await engines.site("i2", 1)];
+    const sites = [await managedEngines.start("i1", 1), await managedEngines.start("i2", 1)];
     const workers = await Promise.all(
       sites.map(() =>
         fixtures.worker((_req, res) => {
@@ -25,21 +25,23 @@
       ),
     );
     const list = workers.map((w, i) => fixtures.endpoint(`i${i + 1}`, w.address));
-    const { at, service } = engines.known(list);
+    const { at, service } = managedEngines.catalogOf(list);
     // Requests of another host occupy the only slot of each engine.
-    const others = sites.map((s) => s.link.ask(engines.wish("other")));
+    const others = sites.map((s) => s.link.ask(managedEngines.seatRequest("other")));
     await Promise.all(others.map((o) => o.answer));
     const made = dispatcherFixture.create(at, (e) => sites[list.indexOf(e)]?.address ?? "");
     made.known.refresh();
-    await engines.until(() => made.known.views(service).every((v) => v.state !== undefined));
+    await managedEngines.eventually(() =>
+      made.known.views(service).every((v) => v.state !== undefined),
+    );
     const { outlet, seen } = dispatcherFixture.recorded();
     const served = made.dispatcher.serve(
       dispatcherFixture.streamRequest(service, ROUTE, 4000),
       outlet,
     );
-    await engines.until(() => sites.some((s) => s.keeper.count() === 2));
+    await managedEngines.eventually(() => sites.some((s) => s.engineManager.seatCount() === 2));
     // The slot of the engine where the request does not wait becomes free.
-    const freeIndex = sites.findIndex((s) => s.keeper.count() === 1);
+    const freeIndex = sites.findIndex((s) => s.engineManager.seatCount() === 1);
     others[freeIndex]?.release("whole");
     await served;
     expect(seen).deep.equal(["begin 200", "end"]);
@@ -50,16 +52,18 @@
 });
 
 describe("a request that has waited too long for a seat", () => {
-  afterEach(engines.endAll);
+  afterEach(managedEngines.endAll);
 
   it("is refused once, and asks no further engines", async () => {
-    const sites = await Promise.all(["i1", "i2", "i3", "i4", "i5"].map((i) => engines.site(i, 1)));
+    const sites = await Promise.all(
+      ["i1", "i2", "i3", "i4", "i5"].map((i) => managedEngines.start(i, 1)),
+    );
     const list = sites.map((s, i) => fixtures.endpoint(`i${i + 1}`, s.address));
-    const { at, service } = engines.known(list);
-    const others = sites.map((s) => s.link.ask(engines.wish("other")));
+    const { at, service } = managedEngines.catalogOf(list);
+    const others = sites.map((s) => s.link.ask(managedEngines.seatRequest("other")));
     await Promise.all(others.map((o) => o.answer));
     let asks = 0;
-    for (const { keeper } of sites) {
+    for (const { engineManager: keeper } of sites) {
       const ask = keeper.ask.bind(keeper);
       keeper.ask = (...args) => {
         asks++;
@@ -68,7 +72,9 @@
     }
     const made = dispatcherFixture.create(at);
     made.known.refresh();
-    await engines.until(() => made.known.views(service).every((v) => v.state !== undefined));
+    await managedEngines.eventually(() =>
+      made.known.views(service).every((v) => v.state !== undefined),
+    );
     const refused: (number | undefined)[] = [];
     const began = performance.now();
     await made.dispatcher.serve(
@@ -104,15 +110,15 @@
 });
 
 describe("a link", () => {
-  afterEach(engines.endAll);
+  afterEach(managedEngines.endAll);
 
   it("drops the state but keeps the holdings of a daemon that is disconnected", async () => {
-    const s = await engines.site("i1", 2);
-    const seat: link.PendingSeat = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start("i1", 2);
+    const seat: link.PendingSeat = s.link.ask(managedEngines.seatRequest("a"));
     await seat.answer;
-    await engines.until(() => s.link.holdings?.resident.includes("m/a") ?? false);
+    await managedEngines.eventually(() => s.link.holdings?.resident.includes("m/a") ?? false);
     s.closeDoor();
-    await engines.until(() => s.link.state === undefined);
+    await managedEngines.eventually(() => s.link.state === undefined);
     expect(s.link.holdings?.resident).deep.equal(["m/a"]);
   });
 
@@ -123,13 +129,16 @@
    * be neither unloaded nor given out, and requests for it are denied as "full" until the daemons restart.
    */
   it("gives back a seat that it no longer waits for, since its daemon fell silent", async () => {
-    const daemon = await telling.open(telling.state("i1"), telling.holdings());
+    const daemon = await fakeEndpointDaemon.open(
+      fakeEndpointDaemon.state("i1"),
+      fakeEndpointDaemon.holdings(),
+    );
     const { made } = links.open(daemon.address);
     try {
-      await engines.until(() => made.state !== undefined);
-      const asked = made.ask(engines.wish("a"));
+      await managedEngines.eventually(() => made.state !== undefined);
+      const asked = made.ask(managedEngines.seatRequest("a"));
       expect(await asked.answer).deep.equal({ kind: "unreachable" });
-      await engines.until(() => daemon.heard.includes("over"));
+      await managedEngines.eventually(() => daemon.heard.includes("over"));
       expect(daemon.heard).deep.equal(["hello", "ask", "over"]);
     } finally {
       made.close();
--- a/test/serving/seats.test.ts
+++ b/test/serving/seats.test.ts
@@ -1,80 +1,83 @@
 import * as chai from "chai";
 import * as net from "node:net";
 import * as clock from "../../src/host/clock.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 
 const { expect } = chai;
 
 const SLOTS = 2;
 
 describe("an endpoint daemon", () => {
-  afterEach(engines.endAll);
+  afterEach(managedEngines.endAll);
 
   it("grants a seat once the adapter is loaded", async () => {
-    const s = await engines.site();
-    const seat = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start();
+    const seat = s.link.ask(managedEngines.seatRequest("a"));
     expect(await seat.answer).deep.equal({ kind: "grant", instance: "i1", version: 1 });
     expect(s.engine.held.get("a")?.ready).equal(true);
   });
 
   it("makes a request wait for a slot that another adapter uses, and never overfills the engine", async () => {
-    const s = await engines.site();
-    const held = ["a", "b"].map((name) => s.link.ask(engines.wish(name)));
+    const s = await managedEngines.start();
+    const held = ["a", "b"].map((name) => s.link.ask(managedEngines.seatRequest(name)));
     await Promise.all(held.map((h) => h.answer));
-    const third = s.link.ask(engines.wish("c"));
+    const third = s.link.ask(managedEngines.seatRequest("c"));
     await clock.sleep(clock.system, 60);
     held[0]?.release("whole");
     expect((await third.answer).kind).equal("grant");
     expect([...s.engine.held.keys()]).deep.equal(["b", "c"]);
-    expect(s.engine.most).most(SLOTS);
+    expect(s.engine.peakHeld).most(SLOTS);
   });
 
   it("grants seats although answers to orders are lost", async () => {
-    const s = await engines.site();
-    s.engine.mood = "answer lost";
-    expect((await s.link.ask(engines.wish("a")).answer).kind).equal("grant");
+    const s = await managedEngines.start();
+    s.engine.behaviour = "answer lost";
+    expect((await s.link.ask(managedEngines.seatRequest("a")).answer).kind).equal("grant");
     expect(s.engine.orders).deep.equal(["load a"]);
   });
 
   it("does not overfill an engine that carries out orders late", async () => {
-    const s = await engines.site();
-    s.engine.mood = "late";
-    const asked = ["a", "b", "c"].map((name) => s.link.ask(engines.wish(name, 400)));
+    const s = await managedEngines.start();
+    s.engine.behaviour = "late";
+    const asked = ["a", "b", "c"].map((name) => s.link.ask(managedEngines.seatRequest(name, 400)));
     await clock.sleep(clock.system, 40);
-    s.engine.mood = "well";
+    s.engine.behaviour = "well";
     for (const a of asked) {
       await a.answer;
       a.release("whole");
     }
     await clock.sleep(clock.system, 150);
-    expect(s.engine.most).most(SLOTS);
+    expect(s.engine.peakHeld).most(SLOTS);
   });
 
   it("denies a seat once it is of no use", async () => {
-    const s = await engines.site();
-    const held = ["a", "b"].map((name) => s.link.ask(engines.wish(name)));
+    const s = await managedEngines.start();
+    const held = ["a", "b"].map((name) => s.link.ask(managedEngines.seatRequest(name)));
     await Promise.all(held.map((h) => h.answer));
-    expect(await s.link.ask(engines.wish("c", 80)).answer).deep.equal({
+    expect(await s.link.ask(managedEngines.seatRequest("c", 80)).answer).deep.equal({
       kind: "deny",
       reason: "full",
     });
   });
 
   it("grants a seat on the new version after it was declared", async () => {
-    const s = await engines.site();
-    const old = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start();
+    const old = s.link.ask(managedEngines.seatRequest("a"));
     await old.answer;
     old.release("whole");
     s.declare("a", 2);
-    await engines.until(() => s.engine.held.get("a")?.version === 2);
-    expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant", version: 2 });
+    await managedEngines.eventually(() => s.engine.held.get("a")?.version === 2);
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).include({
+      kind: "grant",
+      version: 2,
+    });
   });
 
   it("are denied at once where they would be late for waiting, unless asked for firmly", async () => {
-    const s = await engines.site("i1", 1);
-    const other = s.link.ask(engines.wish("other"));
+    const s = await managedEngines.start("i1", 1);
+    const other = s.link.ask(managedEngines.seatRequest("other"));
     await other.answer;
-    const asked = { ...engines.wish("a"), targetMs: 320 };
+    const asked = { ...managedEngines.seatRequest("a"), targetMs: 320 };
     const from = performance.now();
     expect(await s.link.ask({ ...asked, firm: false }).answer).include({ reason: "busy" });
     expect(performance.now() - from).below(200);
@@ -84,112 +87,119 @@
   });
 
   it("never overfills an engine that accepts an unload while it still runs the adapter", async () => {
-    const s = await engines.site("i1", 1);
-    const other = s.link.ask(engines.wish("other"));
+    const s = await managedEngines.start("i1", 1);
+    const other = s.link.ask(managedEngines.seatRequest("other"));
     await other.answer;
     other.release("left");
-    s.engine.lingerMs = 150;
-    expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant" });
-    expect(s.engine.most).equal(1);
+    s.engine.unloadDelayMs = 150;
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).include({ kind: "grant" });
+    expect(s.engine.peakHeld).equal(1);
   });
 
   it("leave an engine alone for a while that is busy with another order", async () => {
-    const s = await engines.site("i1", 1);
-    const other = s.link.ask(engines.wish("other"));
+    const s = await managedEngines.start("i1", 1);
+    const other = s.link.ask(managedEngines.seatRequest("other"));
     await other.answer;
     other.release("whole");
     s.engine.busyUntil = performance.now() + 400;
-    const next = s.link.ask(engines.wish("a"));
+    const next = s.link.ask(managedEngines.seatRequest("a"));
     expect(await next.answer).include({ kind: "grant" });
     // At most one refused order per 25 ms, and the accepted ones.
     expect(s.engine.orders.length).below(24);
   });
 
   it("order an outdated adapter's new version once, however long its replacement takes", async () => {
-    const s = await engines.site();
-    const old = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start();
+    const old = s.link.ask(managedEngines.seatRequest("a"));
     await old.answer;
     old.release("whole");
     s.engine.replaceMs = 300;
     s.declare("a", 2);
-    await engines.until(() => s.engine.held.get("a")?.version === 2);
+    await managedEngines.eventually(() => s.engine.held.get("a")?.version === 2);
     expect(s.engine.orders).deep.equal(["load a", "load a"]);
   });
 
   it("take no turn at the weight store for a base model that the engine has itself", async () => {
-    const s = await engines.site();
-    s.engine.nearby = ["m"];
+    const s = await managedEngines.start();
+    s.engine.localModels = ["m"];
     s.engine.hasModel = false;
-    await engines.until(() => s.engine.orders.includes("load "));
+    await managedEngines.eventually(() => s.engine.orders.includes("load "));
     // The fake notes an order before it carries it out. If the model were removed in between, it
     // would come back.
-    await engines.until(() => s.engine.hasModel);
+    await managedEngines.eventually(() => s.engine.hasModel);
     expect(s.turns()).equal(0);
-    s.engine.nearby = [];
+    s.engine.localModels = [];
     s.engine.hasModel = false;
-    await engines.until(() => s.turns() === 1);
+    await managedEngines.eventually(() => s.turns() === 1);
   });
 
   it("learns from a request for a seat of a version that it does not know", async () => {
-    const s = await engines.site();
-    const old = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start();
+    const old = s.link.ask(managedEngines.seatRequest("a"));
     await old.answer;
     old.release("whole");
-    s.engine.newest = 2;
-    const newer = s.link.ask({ ...engines.wish("a"), version: 2 });
+    s.engine.newestVersion = 2;
+    const newer = s.link.ask({ ...managedEngines.seatRequest("a"), version: 2 });
     await newer.answer;
     newer.release("whole");
-    await engines.until(() => s.engine.held.get("a")?.version === 2);
+    await managedEngines.eventually(() => s.engine.held.get("a")?.version === 2);
   });
 
   it("announces that the engine is lost, and grants seats on the next incarnation", async () => {
-    const s = await engines.site();
-    const before = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start();
+    const before = s.link.ask(managedEngines.seatRequest("a"));
     await before.answer;
-    s.engine.mood = "out";
+    s.engine.behaviour = "out";
     s.engine.restart();
-    await engines.until(() => s.lost.includes("i1"));
-    s.engine.mood = "well";
-    await engines.until(() => s.link.state?.instance === "i1+");
-    expect(await s.link.ask(engines.wish("a")).answer).include({ kind: "grant", instance: "i1+" });
+    await managedEngines.eventually(() => s.lost.includes("i1"));
+    s.engine.behaviour = "well";
+    await managedEngines.eventually(() => s.link.state?.instance === "i1+");
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).include({
+      kind: "grant",
+      instance: "i1+",
+    });
   });
 
   it("detects that the engine restarted between two polls", async () => {
-    const s = await engines.site();
-    const a = s.link.ask(engines.wish("a"));
+    const s = await managedEngines.start();
+    const a = s.link.ask(managedEngines.seatRequest("a"));
     await a.answer;
     a.release("whole");
     s.engine.restart();
-    await engines.until(() => s.link.state?.instance === "i1+");
-    expect(await s.link.ask(engines.wish("a")).answer).include({ instance: "i1+" });
+    await managedEngines.eventually(() => s.link.state?.instance === "i1+");
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).include({ instance: "i1+" });
   });
 
   it("is unreachable to entry daemons while it is down, and grants seats again when it is back", async () => {
-    const s = await engines.site();
+    const s = await managedEngines.start();
     s.closeDoor();
-    await engines.until(() => s.link.state === undefined);
-    expect(await s.link.ask(engines.wish("a")).answer).deep.equal({ kind: "unreachable" });
+    await managedEngines.eventually(() => s.link.state === undefined);
+    expect(await s.link.ask(managedEngines.seatRequest("a")).answer).deep.equal({
+      kind: "unreachable",
+    });
     await s.openDoor();
-    await engines.until(() => s.link.state !== undefined);
-    expect((await s.link.ask(engines.wish("a")).answer).kind).equal("grant");
+    await managedEngines.eventually(() => s.link.state !== undefined);
+    expect((await s.link.ask(managedEngines.seatRequest("a")).answer).kind).equal("grant");
   });
 
   it("ends the seats of an entry daemon whose connection is closed", async () => {
-    const s = await engines.site();
-    await Promise.all(["a", "b"].map((name) => s.link.ask(engines.wish(name)).answer));
+    const s = await managedEngines.start();
+    await Promise.all(
+      ["a", "b"].map((name) => s.link.ask(managedEngines.seatRequest(name)).answer),
+    );
     s.closeDoor();
-    await engines.until(() => s.link.state === undefined);
+    await managedEngines.eventually(() => s.link.state === undefined);
     await s.openDoor();
-    await engines.until(() => s.link.state !== undefined);
-    expect((await s.link.ask(engines.wish("c")).answer).kind).equal("grant");
+    await managedEngines.eventually(() => s.link.state !== undefined);
+    expect((await s.link.ask(managedEngines.seatRequest("c")).answer).kind).equal("grant");
   });
 
   it("closes the connection of a peer that sends invalid messages", async () => {
-    const s = await engines.site();
+    const s = await managedEngines.start();
     const socket = net.connect(Number(s.link.address.split(":")[1]), "127.0.0.1");
     const closed = new Promise((resolve) => socket.once("close", resolve));
     socket.write("rubbish\n");
     await closed;
-    expect((await s.link.ask(engines.wish("a")).answer).kind).equal("grant");
+    expect((await s.link.ask(managedEngines.seatRequest("a")).answer).kind).equal("grant");
   });
 });
--- a/test/serving/suspended.test.ts
+++ b/test/serving/suspended.test.ts
@@ -2,9 +2,9 @@
 import * as clock from "../../src/host/clock.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as fixtures from "./fixtures.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 const { expect } = chai;
 
@@ -47,21 +47,26 @@
       res.writeHead(200, fixtures.good());
       res.end("id: 1\ndata: x\n\n");
     });
-    const daemon = await telling.open(telling.state("i1"), telling.holdings(ADAPTER));
+    const daemon = await fakeEndpointDaemon.open(
+      fakeEndpointDaemon.state("i1"),
+      fakeEndpointDaemon.holdings(ADAPTER),
+    );
     const endpoint = fixtures.endpoint("i1", worker.address);
-    const { at, service } = engines.known([endpoint]);
+    const { at, service } = managedEngines.catalogOf([endpoint]);
     const host = suspendable();
     const setup = dispatcherFixture.create(at, () => daemon.address, host.clk);
     cleanups.push(setup.close, worker.close, daemon.close);
     setup.known.refresh();
-    await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
+    await managedEngines.eventually(() =>
+      setup.known.views(service).every((v) => v.holdings !== undefined),
+    );
     const route: catalog.Route = { ...fixtures.ROUTE, kind: "stream", timeoutMs: WAIT_MS };
     const { outlet } = dispatcherFixture.recorded();
     const served = setup.dispatcher.serve(
       dispatcherFixture.streamRequest(service, route, WAIT_MS),
       outlet,
     );
-    await engines.until(() => daemon.heard.includes("ask"));
+    await managedEngines.eventually(() => daemon.heard.includes("ask"));
     host.suspend(SUSPENDED_MS);
     daemon.tell({ kind: "grant", seat: 0, instance: "i1" });
     await served;
--- a/test/serving/suspicion.test.ts
+++ b/test/serving/suspicion.test.ts
@@ -4,7 +4,7 @@
 import type * as clock from "../../src/host/clock.js";
 import * as suspicionState from "../../src/serving/suspicion-state.js";
 import * as suspicionRelay from "../../src/serving/suspicion-relay.js";
-import type * as seat from "../../src/serving/seat.js";
+import type * as seatMessages from "../../src/serving/seat-messages.js";
 import * as suspicion from "../../src/serving/suspicion.js";
 
 const { expect } = chai;
@@ -193,11 +193,15 @@
   });
 
   it("goes through a relay to all others once, and to those that come later", () => {
-    const told = new Map<string, seat.FromEndpoint[]>();
+    const told = new Map<string, seatMessages.FromEndpoint[]>();
     const client = (host: string) => {
-      const got: seat.FromEndpoint[] = [];
+      const got: seatMessages.FromEndpoint[] = [];
       told.set(host, got);
-      return { host, send: (m: seat.FromEndpoint) => got.push(m), sendLine: () => undefined };
+      return {
+        host,
+        send: (m: seatMessages.FromEndpoint) => got.push(m),
+        sendLine: () => undefined,
+      };
     };
     const at = new suspicionRelay.SuspicionRelay({ clock: still(), log: record.silent });
     const [a, b, gone] = [client("a"), client("b"), client("gone")];
--- a/test/serving/waiting-stream.ts
+++ b/test/serving/waiting-stream.ts
@@ -7,9 +7,9 @@
 import type * as authentication from "../../src/serving/authentication.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as dispatcherFixture from "./dispatcher-fixture.js";
-import * as engines from "./engines.js";
+import * as managedEngines from "./managed-engines.js";
 import * as fixtures from "./fixtures.js";
-import * as telling from "./telling.js";
+import * as fakeEndpointDaemon from "./fake-endpoint-daemon.js";
 
 /** Adapter of the request, which its engine has loaded. */
 const ADAPTER = "m/a";
@@ -38,10 +38,13 @@
     res.end("id: 1\ndata: x\n\n");
   });
   cleanups.push(worker.close);
-  const daemon = await telling.open(telling.state("i1"), telling.holdings(ADAPTER));
+  const daemon = await fakeEndpointDaemon.open(
+    fakeEndpointDaemon.state("i1"),
+    fakeEndpointDaemon.holdings(ADAPTER),
+  );
   cleanups.push(daemon.close);
   const endpoint = fixtures.endpoint("i1", worker.address);
-  const { at: initial, service } = engines.known([endpoint]);
+  const { at: initial, service } = managedEngines.catalogOf([endpoint]);
   let current = initial;
   const setup = dispatcherFixture.create(
     () => current,
@@ -52,12 +55,14 @@
   );
   cleanups.push(setup.close);
   setup.known.refresh();
-  await engines.until(() => setup.known.views(service).every((v) => v.holdings !== undefined));
+  await managedEngines.eventually(() =>
+    setup.known.views(service).every((v) => v.holdings !== undefined),
+  );
   const { outlet, seen } = dispatcherFixture.recorded();
   const streamed: catalog.Route = { ...fixtures.ROUTE, kind: "stream", ...route };
   const req = dispatcherFixture.streamRequest(service, streamed, route.timeoutMs);
   const served = setup.dispatcher.serve(req, outlet);
-  await engines.until(() => daemon.heard.includes("ask"));
+  await managedEngines.eventually(() => daemon.heard.includes("ask"));
   return {
     daemon,
     endpoint,
