--- a/bench/explain/lines.ts
+++ b/bench/explain/lines.ts
@@ -6,7 +6,7 @@
 import * as zod from "zod";
 
 const over = zod.object({
-  msg: zod.literal("A request is over."),
+  msg: zod.literal("A request has ended."),
   request: zod.string(),
   route: zod.string(),
   team: zod.string().optional(),
@@ -19,12 +19,12 @@
   why: zod.string().optional(),
 });
 const given = zod.object({
-  msg: zod.literal("A seat was given."),
+  msg: zod.literal("A seat was granted."),
   request: zod.string(),
   waitedMs: zod.number(),
 });
 const ordered = zod.object({
-  msg: zod.literal("An order was given."),
+  msg: zod.literal("An order was sent."),
   daemon: zod.string(),
   order: zod.enum(["load", "unload"]),
   model: zod.string(),
@@ -33,7 +33,7 @@
   result: zod.string(),
 });
 const ended = zod.object({
-  msg: zod.literal("A worker ended under a request."),
+  msg: zod.literal("A worker crashed while running a request."),
   daemon: zod.string(),
   request: zod.string(),
   identity: zod.string(),
@@ -46,7 +46,7 @@
   team: zod.string().optional(),
 });
 const usedUp = zod.object({
-  msg: zod.literal("A total is used up."),
+  msg: zod.literal("A total is exhausted."),
   total: zod.string(),
   perS: zod.number(),
 });
@@ -96,24 +96,24 @@
     if (!known.success) continue;
     const said = known.data;
     switch (said.msg) {
-      case "A request is over.": {
+      case "A request has ended.": {
         const atS = (at - (from ?? at)) / MS_PER_S;
         requests.push({ ...said, atS, seatMs: waited.get(said.request) ?? 0 });
         break;
       }
-      case "A seat was given.":
+      case "A seat was granted.":
         waited.set(said.request, (waited.get(said.request) ?? 0) + said.waitedMs);
         break;
-      case "An order was given.":
+      case "An order was sent.":
         orders.push(said);
         break;
-      case "A worker ended under a request.":
+      case "A worker crashed while running a request.":
         ends.push(said);
         break;
       case "A request was refused.":
         refusals.push(said);
         break;
-      case "A total is used up.":
+      case "A total is exhausted.":
         used.push(said);
         break;
     }
--- a/bench/red/soak-switches.ts
+++ b/bench/red/soak-switches.ts
@@ -8,7 +8,7 @@
   {
     name: "soak: what must not be repeated is sent once",
     file: "serving/sending.js",
-    find: "if (catalog.repeatable(a.route))\n            return undefined;",
+    find: "if (catalog.isRepeatable(req.route))\n            return undefined;",
     put: "if (true)\n            return undefined;",
     proof: "once",
     bySoak: true,
@@ -24,8 +24,8 @@
   {
     name: "soak: a stream that broke does not end as if whole",
     file: "serving/ending.js",
-    find: "out.breakOff();",
-    put: "out.end();",
+    find: "res.abort();",
+    put: "res.end();",
     proof: "whole",
     bySoak: true,
   },
@@ -40,7 +40,7 @@
   {
     name: "soak: an engine is told when the caller leaves",
     file: "serving/dispatch.js",
-    find: 'out.gone.addEventListener("abort", stop, { once: true });',
+    find: 'res.disconnected.addEventListener("abort", stop, { once: true });',
     put: "",
     proof: "gone",
     bySoak: true,
--- a/src/serving/authentication.ts
+++ b/src/serving/authentication.ts
@@ -73,7 +73,7 @@
   if (team && catalogAgeMs <= freshness.acceptWithinMs) return { kind: "team", team };
   const ageMs = Math.round(catalogAgeMs);
   if (team || !mayReject(catalogAgeMs, freshness)) {
-    return { kind: "unsure", why: `the keys in force were last heard ${ageMs} ms ago` };
+    return { kind: "unsure", why: `the keys in force were last confirmed ${ageMs} ms ago` };
   }
   return { kind: "unknown", why: presented.kind === "key" ? "the key is unknown" : presented.why };
 }
--- a/src/serving/caller-server.ts
+++ b/src/serving/caller-server.ts
@@ -181,7 +181,7 @@
         };
       }
       case "unsure": {
-        const why = "nobody who keeps the team's cap is reached";
+        const why = "no owner of the team's cap can be reached";
         return {
           kind: "refused",
           status: 503,
--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -110,7 +110,7 @@
     if (p.closedBy && outcome === "refused") {
       this.deps.metrics.recordNotice(req.service.name, p.closedBy, "refused");
     }
-    this.deps.log.info("A request is over.", {
+    this.deps.log.info("A request has ended.", {
       request: req.meta.id,
       route: req.route.name,
       team: req.caller?.team.name,
--- a/src/serving/endpoint-registry.ts
+++ b/src/serving/endpoint-registry.ts
@@ -220,7 +220,7 @@
       conn = new link.Link(address, {
         ...this.deps,
         onEngineLost: (instance) => {
-          this.deps.log.warn("An engine is gone.", { endpoint: instance });
+          this.deps.log.warn("An engine was lost.", { endpoint: instance });
           for (const callback of this.lossWatchers.get(incarnation.workerOf(instance)) ?? [])
             callback();
         },
--- a/src/serving/engine-manager.ts
+++ b/src/serving/engine-manager.ts
@@ -267,7 +267,7 @@
     this.state = residency.addPin(this.state, w.key, 1);
     s.client.send({ kind: "grant", seat: s.seatNumber, instance: this.instance, version });
     const waitedMs = now - s.askedAt;
-    this.deps.log.info("A seat was given.", {
+    this.deps.log.info("A seat was granted.", {
       request: s.request,
       adapter: w.key,
       version,
@@ -334,7 +334,7 @@
     if (name !== undefined) this.engineFound(incarnation.idOf(name, report.born));
     const isRestarted = incarnation.startOf(this.instance) !== report.born;
     if (isRestarted || !this.orders.syncSequence(report.sequence)) {
-      this.deps.log.warn("The engine started anew.", { instance: this.instance });
+      this.deps.log.warn("The engine restarted.", { instance: this.instance });
       this.engineLost();
       return;
     }
@@ -410,7 +410,7 @@
           phase: "closing",
           phaseSince: now,
         });
-        this.deps.log.info("An adapter in use is given out no more.", {
+        this.deps.log.info("An adapter in use is closed to new requests.", {
           adapter: a.slot.key,
           pins: a.slot.pins,
         });
--- a/src/serving/feed.ts
+++ b/src/serving/feed.ts
@@ -209,7 +209,7 @@
       this.deps.source.renew();
       if (this.hedgeLogged) return;
       this.hedgeLogged = true;
-      this.deps.log.warn("A call to the store is overdue; another is made beside it.", {
+      this.deps.log.warn("A call to the store is overdue; a second one was sent to hedge it.", {
         overdueMs,
         newsMs: Math.round(this.catalogAgeMs),
       });
--- a/src/serving/limiter-owner.ts
+++ b/src/serving/limiter-owner.ts
@@ -207,7 +207,7 @@
     const now = this.deps.clock.steady();
     if (now - (this.loggedAt.get(total.key) ?? -Infinity) < LOG_INTERVAL_MS) return;
     this.loggedAt.set(total.key, now);
-    this.deps.log.info("A total is used up.", {
+    this.deps.log.info("A total is exhausted.", {
       total: total.key,
       perS: total.perS,
       burst: total.burst,
--- a/src/serving/limiter.ts
+++ b/src/serving/limiter.ts
@@ -298,7 +298,7 @@
       const result = await owner.draw(key, req);
       if (result) return { delaysMs: result.delaysMs, refusal: refusalFor(result.waitMs) };
       this.avoidedUntil.set(owner.address, this.deps.clock.steady() + AVOID_MS);
-      this.deps.log.warn("The place of a total does not answer.", {
+      this.deps.log.warn("The owner of a total does not answer.", {
         total: key,
         peer: owner.address,
       });
--- a/src/serving/link.ts
+++ b/src/serving/link.ts
@@ -267,7 +267,7 @@
       this.hasNamedEngine = false;
       channel.send({ kind: "hello", host: this.deps.host });
       for (const m of this.deps.messagesOnConnect(this.address)) channel.send(m);
-      this.deps.log.info("An endpoint daemon is reached.", { peer: this.address });
+      this.deps.log.info("Connected to an endpoint daemon.", { peer: this.address });
       this.scheduleSilenceCheck();
     });
     const channel = jsonLines.openChannel<seatMessages.FromEndpoint, seatMessages.FromEntry>(
@@ -288,7 +288,7 @@
 
   private disconnected(wasConnected: boolean, why: string): void {
     if (wasConnected && !this.closed) {
-      this.deps.log.warn("An endpoint daemon is lost.", { peer: this.address, why });
+      this.deps.log.warn("Lost the connection to an endpoint daemon.", { peer: this.address, why });
     }
     this.channel = undefined;
     this.lastState = undefined;
--- a/src/serving/metrics.ts
+++ b/src/serving/metrics.ts
@@ -164,7 +164,7 @@
   try {
     const server = await serve(meters, address);
     const { port } = server.address() as net.AddressInfo;
-    lg.info("The figures are served.", { port });
+    lg.info("The metrics are served.", { port });
   } catch (err) {
     lg.error("The metrics cannot be served.", { address, why: errors.why(err) });
   }
--- a/src/serving/order-sender.ts
+++ b/src/serving/order-sender.ts
@@ -77,7 +77,7 @@
     );
     const result = await this.engine.order({ ...change, instance, sequence, epoch, waitMs });
     const tookMs = this.clk.mono() - sentAt;
-    this.log.info("An order was given.", {
+    this.log.info("An order was sent.", {
       order: change.kind,
       model: change.model,
       adapter: change.adapter,
--- a/src/serving/progress.ts
+++ b/src/serving/progress.ts
@@ -90,7 +90,7 @@
     hasResponseBegun: false,
     isAdmissionDecided: false,
     lastEventId: a.meta.resumeAfter,
-    why: "no endpoint is there",
+    why: "no endpoint is available",
     refusalStatus: 503,
     retryAfterMs: admission.DEFAULT_RETRY_AFTER_MS,
     releaseMs: undefined,
--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -76,7 +76,7 @@
     p.withheld++;
     p.why = `${e.id} accepts no requests now: ${reason}`;
     meters.recordNotice(req.service.name, reason, "elsewhere");
-    log.info("A worker takes no request now.", {
+    log.info("A worker accepts no requests now.", {
       request: req.meta.id,
       endpoint: e.id,
       reason,
@@ -91,7 +91,7 @@
     const service = req.service.name;
     const verdict = this.budget.takeRetry(service, this.deps.endpoints.mostHosts());
     this.deps.metrics.recordRetry(service, verdict.from);
-    const message = verdict.from ? "A request may be retried." : "A retry is over the budget.";
+    const message = verdict.from ? "A retry is allowed." : "A retry exceeds the budget.";
     this.deps.log.info(message, {
       request: req.meta.id,
       service,
--- a/src/serving/send-watchdog.ts
+++ b/src/serving/send-watchdog.ts
@@ -71,7 +71,7 @@
   );
   const onSilence = (): void => {
     if (!deps.mayGoOn()) return;
-    deps.log.warn("An endpoint stays silent; its connections are made anew.", {
+    deps.log.warn("An endpoint does not answer; its connections are replaced.", {
       request: req.meta.id,
       endpoint: id,
       silentMs: Math.round(silentMs),
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -175,7 +175,7 @@
     p.why = `${endpoint.id} did not run the request: ${why}`;
     p.triedEndpoints.add(endpoint.id);
     p.waitingSince = this.deps.clock.mono();
-    this.logFailedSend(send, "It was not run there.");
+    this.logFailedSend(send, "An endpoint did not run a request.");
   }
 
   /** Records what an answer says about its worker. */
@@ -235,7 +235,7 @@
     p.triedEndpoints.add(send.endpoint.id);
     p.waitingSince = this.deps.clock.mono();
     this.settle(send, "failed", false);
-    this.deps.log.warn("A send broke off.", {
+    this.deps.log.warn("A send failed.", {
       request: req.meta.id,
       // Each attempt has a new request id; only the identity shows that the same request came again.
       identity: identity.of(req),
--- a/src/serving/suspects.ts
+++ b/src/serving/suspects.ts
@@ -90,7 +90,7 @@
     const peers = Math.max(1, catalog.endpointsOf(this.deps.catalog(), a.service).length);
     this.publish({ kind: "ended", identity: id, worker: worker.id, underWayMs, peers, ageMs: 0 });
     const verdict = this.verdict(id);
-    this.deps.log.warn("A worker ended under a request.", {
+    this.deps.log.warn("A worker crashed while running a request.", {
       request: a.meta.id,
       identity: id,
       endpoint: worker.id,
--- a/src/serving/worker-notices.ts
+++ b/src/serving/worker-notices.ts
@@ -311,7 +311,9 @@
     const { limit, leavingAt, pause } = after;
     if (limit && limit.perS !== before.limit?.perS) {
       const sentence =
-        limit.perS === undefined ? "A worker's limit is withdrawn." : "A worker names a limit.";
+        limit.perS === undefined
+          ? "A worker withdrew its rate limit."
+          : "A worker announced a rate limit.";
       this.deps.log.warn(sentence, {
         endpoint,
         perS: limit.perS,
@@ -322,13 +324,14 @@
       });
     }
     if (leavingAt !== before.leavingAt) {
-      this.deps.log.warn("A worker says that it leaves.", { endpoint, ...from });
+      this.deps.log.warn("A worker announced that it is leaving.", { endpoint, ...from });
     }
-    if (!pause && before.pause) this.deps.log.info("A worker takes requests again.", { endpoint });
+    if (!pause && before.pause)
+      this.deps.log.info("A worker accepts requests again after a pause.", { endpoint });
     if (pause && pause.until !== before.pause?.until) {
       const forMs = Math.round(pause.until - this.deps.clock.steady());
       const until = new Date(this.deps.clock.now().getTime() + forMs).toISOString();
-      this.deps.log.warn("A worker asks for a pause.", { endpoint, forMs, until, ...from });
+      this.deps.log.warn("A worker requested a pause.", { endpoint, forMs, until, ...from });
     }
   }
 
@@ -343,7 +346,7 @@
       this.loggedUnreadable.set(e.id, logged);
       if (logged.has(notice)) continue;
       logged.add(notice);
-      this.deps.log.warn("What a worker says of itself cannot be read.", {
+      this.deps.log.warn("An announcement of a worker cannot be parsed.", {
         endpoint: e.id,
         notice,
         request: h.request,
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -8,7 +8,7 @@
 
 function over(second: number, more: object): string {
   const fields = {
-    msg: "A request is over.",
+    msg: "A request has ended.",
     request: "r",
     route: "a",
     targetMs: 500,
@@ -24,19 +24,19 @@
   endpoint: string,
   verdict: string,
 ): string {
-  const msg = "A worker ended under a request.";
+  const msg = "A worker crashed while running a request.";
   return JSON.stringify({ msg, daemon, request, identity, endpoint, verdict });
 }
 
 const LOG = [
   "0.0 entry-1 no line of a daemon",
-  `{"at":"${AT}0.000Z","msg":"A seat was given.","request":"r1","waitedMs":300}`,
+  `{"at":"${AT}0.000Z","msg":"A seat was granted.","request":"r1","waitedMs":300}`,
   over(0, { request: "r1", ending: "whole", firstMs: 800, expectedMs: 400 }),
   over(1, { request: "r2", ending: "whole", firstMs: 100 }),
   over(4, { request: "r3", ending: "refused", why: "it would wait 812 ms", tookMs: 2 }),
   over(4, { request: "r4", ending: "refused", why: "it would wait 700 ms", tookMs: 4 }),
-  '{"msg":"An order was given.","daemon":"d1","order":"load","model":"m","adapter":"a","result":"accepted"}',
-  '{"msg":"An order was given.","daemon":"d1","order":"load","model":"m","adapter":"a","result":"conflict"}',
+  '{"msg":"An order was sent.","daemon":"d1","order":"load","model":"m","adapter":"a","result":"accepted"}',
+  '{"msg":"An order was sent.","daemon":"d1","order":"load","model":"m","adapter":"a","result":"conflict"}',
   ended("d1", "r5", "cause", "i-1", "suspected"),
   ended("d1", "r6", "company", "i-1", "suspected"),
   ended("d2", "r7", "cause", "i-2", "suspected"),
@@ -45,7 +45,7 @@
   over(4, { request: "r9", ending: "whole", firstMs: 100, route: "b", team: "news", units: 20 }),
   '{"msg":"A request was refused.","status":429,"team":"news"}',
   '{"msg":"A request was refused.","status":401}',
-  '{"msg":"A total is used up.","total":"team/news","perS":300}',
+  '{"msg":"A total is exhausted.","total":"team/news","perS":300}',
   '{"msg":"A request is ov',
 ].join("\n");
 
--- a/test/platform/callers.test.ts
+++ b/test/platform/callers.test.ts
@@ -181,7 +181,7 @@
     expect(s.seen.map((r) => r.headers["x-sumacfield-tenant"])).deep.equal(["news", "sport"]);
   });
 
-  it("never reach a worker, nor does a team that the caller names", async () => {
+  it("never reach a worker, and neither does a team name sent by the caller", async () => {
     const spoofedHeaders = [
       "X-Sumacfield-Tenant: sport",
       "x-SUMACFIELD-tenant: small",
--- a/test/platform/following.test.ts
+++ b/test/platform/following.test.ts
@@ -88,7 +88,7 @@
     expect(await propagationMs()).below(IN_FORCE_MS - SPARE_MS);
   }).timeout(12_000);
 
-  it("hears so though the mark comes right after an answer, and the next call hangs", async () => {
+  it("learns it in time though the change comes right after a response and the next call hangs", async () => {
     const { revision } = followed.catalog;
     store.put("other", {});
     await until(() => followed.catalog.revision > revision);
--- a/test/platform/processes.test.ts
+++ b/test/platform/processes.test.ts
@@ -185,13 +185,13 @@
   });
 
   it("count what they serve, and write a line for each request", async () => {
-    const served = entry.lines().find((l) => l.msg === "The figures are served.");
+    const served = entry.lines().find((l) => l.msg === "The metrics are served.");
     const figures = await undici.request(`http://127.0.0.1:${String(served?.port)}/metrics`);
     const text = await figures.body.text();
     expect(text).match(/sumacfield_requests_total\{route="captions",ending="whole"\} \d/);
     expect(text).match(/sumacfield_first_event_ms_bucket\{le="1000",route="captions"\} \d/);
     await until(() =>
-      entry.lines().some((l) => l.msg === "A request is over." && l.request === "r1"),
+      entry.lines().some((l) => l.msg === "A request has ended." && l.request === "r1"),
     );
     const over = entry.lines().find((l) => l.request === "r1");
     expect(over).include({ ending: "whole", endpoint: worker.instance, sends: 1 });
--- a/test/serving/admission.test.ts
+++ b/test/serving/admission.test.ts
@@ -14,7 +14,7 @@
 }
 
 describe("admission", () => {
-  it("refuses nobody for its own size while there is time for it", () => {
+  it("never refuses a request for its own size while its deadline allows it", () => {
     fc.assert(
       fc.property(fc.integer({ min: 0, max: 5000 }), (ownMs) => {
         expect(admission.decide(REQUEST, estimate(0, ownMs)).kind).equal("serve");
--- a/test/serving/announced-limit.test.ts
+++ b/test/serving/announced-limit.test.ts
@@ -37,7 +37,7 @@
     expect(limits.observe(KNOWN, answer(saying(5), 100, 200))?.perS).equal(5);
   });
 
-  it("is withdrawn by an answer without it whose request was sent after it was named", () => {
+  it("is withdrawn by an answer without it whose request was sent after it was announced", () => {
     const withdrawn = { perS: undefined, version: 4, at: 200 };
     expect(limits.observe(KNOWN, answer(NONE, 100, 200))).deep.equal(withdrawn);
     expect(limits.observe(KNOWN, answer(NONE, 99, 200))).equal(KNOWN);
--- a/test/serving/announcer.test.ts
+++ b/test/serving/announcer.test.ts
@@ -105,7 +105,7 @@
     expect(Math.max(...gaps)).most(1020);
   });
 
-  it("says nothing while nothing changes but that it is there", async () => {
+  it("sends nothing before its longest interval while the state stays the same", async () => {
     const s = setUp(10);
     await s.clk.runUntil(500);
     const before = sum(s.received.map((r) => r.states.length));
@@ -114,7 +114,7 @@
     expect(sum(s.received.map((r) => r.states.length))).equal(before);
   });
 
-  it("tells each once of an adapter that came and went between two words", async () => {
+  it("reports an adapter that came and left between two announcements once to each entry daemon", async () => {
     const s = setUp(60);
     await s.clk.runUntil(2000);
     s.hold("m/a");
--- a/test/serving/authentication.test.ts
+++ b/test/serving/authentication.test.ts
@@ -46,7 +46,7 @@
     expect(kind(KEY, Infinity)).equal("unsure");
   });
 
-  it("says no only while a newer configuration can't be in force", () => {
+  it("rejects for good only while no newer configuration can be in force", () => {
     expect(kind(OTHER, IN_FORCE_MS)).equal("unknown");
     expect(kind(OTHER, IN_FORCE_MS + 1)).equal("unsure");
     expect(kind(NONE, IN_FORCE_MS + 1)).equal("unsure");
@@ -65,7 +65,7 @@
    * it arrives at all, whether the watch omits changes of the last second, and how long the host is suspended between the
    * arrival of a request and the decision on it.
    */
-  it("lets no request in that was sent too long after its key was taken away, in any order of events", () => {
+  it("accepts no request sent too long after its key was revoked, in any order of events", () => {
     const STEP = 500;
     const REVOKED_AT = 3000;
     const END = 14_000;
--- a/test/serving/decisions.test.ts
+++ b/test/serving/decisions.test.ts
@@ -146,7 +146,7 @@
 });
 
 describe("prompts that have a seat but are never sent", () => {
-  it("do not keep an engine from others for good", () => {
+  it("do not block an engine for other hosts permanently", () => {
     let b = backlog.EMPTY;
     for (let i = 0; i < 20; i++) {
       b = backlog.grantSeat(backlog.addSeat(b, `s${i}`, 2000, 1), `s${i}`, 0);
@@ -249,7 +249,7 @@
 }
 
 describe("choice", () => {
-  it("trusts what an engine said the less the older it is", () => {
+  it("gives a reported waiting time less weight the older it is", () => {
     const reported = (id: string, ms: number, ageMs: number): choice.View =>
       withAdapter(id, {
         state: { ...fixtures.STATE, instance: id, waitMs: new Array<number>(10).fill(ms) },
--- a/test/serving/dispatch.test.ts
+++ b/test/serving/dispatch.test.ts
@@ -113,7 +113,7 @@
     expect([seen.status, runs]).deep.equal([200, 1]);
   });
 
-  it("never sends twice what may have run and must not be repeated", async () => {
+  it("does not resend a request that may have run and must not be repeated", async () => {
     let arrivals = 0;
     const breaks = await fixtures.rawWorker((s) => {
       arrivals++;
@@ -151,7 +151,7 @@
     expect(performance.now() - began).below(800);
   });
 
-  it("uses new connections where those that stand have gone silent for good", async () => {
+  it("opens new connections when the existing ones are dead", async () => {
     let silent = false;
     let unanswered = 0;
     const answerOk = (res: http.ServerResponse): void => {
--- a/test/serving/early-listener.test.ts
+++ b/test/serving/early-listener.test.ts
@@ -17,7 +17,7 @@
 }
 
 describe("early listener", () => {
-  it("hands over who waits, but not who left while the daemon was loaded", async () => {
+  it("serves requests that waited during startup, except those whose callers disconnected", async () => {
     const listener = await earlyListener.open("127.0.0.1:0");
     const gone = await connect(listener);
     const waiting = await connect(listener);
--- a/test/serving/feed.test.ts
+++ b/test/serving/feed.test.ts
@@ -144,7 +144,7 @@
    * changed, and then a full snapshot fails for a while. If the answer counted as an update, the catalog would be taken
    * for fresh although it still holds keys that have been revoked.
    */
-  it("does not take it for news that the store has forgotten its history", async () => {
+  it("does not count a compacted history as an update of the catalog", async () => {
     const s = new FakeSource();
     s.put("c", "1");
     const f = follow(s, { ...feed.promptPace(2000), minIntervalMs: 20 });
@@ -208,7 +208,7 @@
     await until(() => f.catalog.config?.version === 2);
   });
 
-  it("keeps endpoints for a while whose entries lapsed while the store was away", async () => {
+  it("keeps endpoints for a while whose entries expired during an outage of the store", async () => {
     const s = new FakeSource();
     s.put("e/back", "10.0.0.1:1");
     s.put("e/gone", "10.0.0.2:1");
@@ -226,7 +226,7 @@
     expect(f.catalog.endpoints.has("back")).equal(true);
   }).timeout(10_000);
 
-  it("lets an endpoint go in the time allowed when it leaves soon after an outage", async () => {
+  it("removes an endpoint in time when it leaves soon after an outage", async () => {
     const s = new FakeSource();
     for (const id of ["a", "b", "c"]) s.put(`e/${id}`, "10.0.0.1:1");
     const f = follow(s);
@@ -247,7 +247,7 @@
    * change of the key counts, the host sees a deletion alone, takes it for an entry that expired in the outage, and
    * keeps the engine as one that stays.
    */
-  it("lets an endpoint go at once that said that it leaves while the store was away", async () => {
+  it("removes an endpoint at once that announced during an outage that it leaves", async () => {
     const s = new FakeSource();
     for (const id of ["a", "b", "c"]) s.put(`e/${id}`, "10.0.0.1:1");
     const f = follow(s);
--- a/test/serving/incarnation.test.ts
+++ b/test/serving/incarnation.test.ts
@@ -46,7 +46,7 @@
 });
 
 describe("a catalog", () => {
-  it("never goes back to an older start, in whatever order entries come, late or twice", () => {
+  it("never goes back to an older incarnation, in whatever order entries arrive, late or repeated", () => {
     fc.assert(
       fc.property(fc.array(fc.nat(UPDATES.length - 1), { minLength: 1 }), (order) => {
         let at = catalog.EMPTY;
@@ -84,7 +84,7 @@
 describe("an engine that restarts under its old name", () => {
   afterEach(managedEngines.endAll);
 
-  it("is met anew though its count of orders has not fallen, and holds what it then says", async () => {
+  it("is recognized as new though its order sequence has not decreased, and holds what it then reports", async () => {
     const s = await managedEngines.start("i1", 2);
     s.engine.startedAt = 1;
     await managedEngines.eventually(() => s.link.state?.instance === incarnation.idOf("i1", 1));
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -87,7 +87,7 @@
     expect(seen).deep.equal(["refuse 503"]);
   });
 
-  it("gets nothing more once an answer has said so, whatever later answers and the store say", async () => {
+  it("gets nothing more once an answer has announced it, whatever later answers and the store say", async () => {
     const [a, b] = [await worker(), await worker()];
     const first = fixtures.endpoint(incarnation.idOf("w1", 1), a.address);
     const made = open([first, fixtures.endpoint("w2", b.address)]);
@@ -120,7 +120,7 @@
     expect([a.seen.arrivals, b.seen.arrivals]).deep.equal([0, 20]);
   });
 
-  it("is left at once by a request that waits for a seat there", async () => {
+  it("is abandoned at once by a request that waits for a seat there", async () => {
     const waits = await waitingStream.begin({ route: { targetMs: 1000, timeoutMs: 1500 } });
     const began = performance.now();
     waits.notices.merge(leaving(waits.endpoint.id), "10.0.0.9:1");
@@ -148,7 +148,7 @@
 describe("an endpoint daemon whose engine leaves", () => {
   afterEach(managedEngines.endAll);
 
-  it("gives no seat and no order more, and tells entry daemons", async () => {
+  it("grants no more seats, sends no more orders, and tells entry daemons", async () => {
     const s = await managedEngines.start("i1", 1);
     const held = s.link.ask(managedEngines.seatRequest("a"));
     await held.answer;
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -106,7 +106,7 @@
     expect(a.seen.arrivals).length(2);
   });
 
-  it("are refused at once where all ask for one, with the time at which the first is over", async () => {
+  it("are refused at once if all workers ask for one, with the time until the first is over", async () => {
     const [a, b] = [await worker("w1", 2000), await worker("w2", 3000)];
     const made = open([a.endpoint, b.endpoint]);
     const began = performance.now();
@@ -144,7 +144,7 @@
     expect(well.map((e) => e.status)).deep.equal(new Array<number>(10).fill(200));
   });
 
-  it("are kept away to its end though the time of day steps ahead", async () => {
+  it("are held back until it is over even if the system clock steps forward", async () => {
     const stepped: clock.Clock & { stepMs: number } = {
       ...clock.system,
       stepMs: 0,
--- a/test/serving/quarantine.test.ts
+++ b/test/serving/quarantine.test.ts
@@ -88,7 +88,7 @@
   const decoder = quarantine.wrapDecoder(inner);
   const key = quarantine.keyOf("some-identity");
 
-  it("is known by its key in the store, whatever that holds, and released with it", () => {
+  it("is in force while its key is in the store, whatever the value, and released with it", () => {
     for (const text of ["", "{}", "no JSON"]) {
       const step = decoder.written(key, text);
       const at = step ? catalog.applyUpdate(catalog.EMPTY, step) : catalog.EMPTY;
@@ -119,25 +119,25 @@
     expect((await s.ask({ path: "/c/other" })).seen).deep.equal(["answer 200"]);
   });
 
-  it("is sent on after the first, and under suspicion no more once it ran", async () => {
+  it("is resent after the first crash, and no longer suspected once it ran to its end", async () => {
     const s = await site(CRASH, WHOLE);
     expect((await s.ask()).seen).deep.equal(["answer 200"]);
     expect([s.runs(), s.suspects.size]).deep.equal([2, 0]);
   });
 
-  it("ends no more than three of the workers that there are, though it may be sent to more", async () => {
+  it("crashes three workers at most, even if it may be sent to more", async () => {
     const s = await site(CRASH, CRASH, CRASH, CRASH);
     expect((await s.ask()).seen).deep.equal(["refuse 502"]);
     expect([s.runs(), s.suspects.size]).deep.equal([3, 1]);
   });
 
-  it("is no suspect where its connection alone was cut", async () => {
+  it("is not suspected if only its connection was cut", async () => {
     const s = await site(RESET, RESET, RESET);
     expect((await s.ask()).seen).deep.equal(["refuse 502"]);
     expect([s.runs(), s.suspects.size]).deep.equal([CALL.attempts, 0]);
   });
 
-  it("is no suspect where its worker had said that it leaves", async () => {
+  it("is not suspected if its worker had announced that it is leaving", async () => {
     const s = await site((_res, end) => {
       s.leave("e0");
       end();
--- a/test/serving/residency.test.ts
+++ b/test/serving/residency.test.ts
@@ -137,7 +137,7 @@
 const step = fc.constantFrom("ask a", "ask b", "ask c", "ask d", "ask e", "end", "loaded");
 
 describe("residency", () => {
-  it("never holds too much, gives out what is not there, or unloads what is used", () => {
+  it("never overfills the slots, grants a seat on a missing adapter, or unloads an adapter in use", () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
         const sim: Simulation = {
--- a/test/serving/retry-budget.test.ts
+++ b/test/serving/retry-budget.test.ts
@@ -93,7 +93,7 @@
 
 const CASES: Readonly<Record<string, (f: Fleet) => Partial<retrySimulation.Plan>>> = {
   "without disturbances": () => ({}),
-  "where none was wanted for long": () => ({ retriesWanted: [[30_000, 34_000]] }),
+  "after a long time without retries": () => ({ retriesWanted: [[30_000, 34_000]] }),
   "while all hosts are killed again and again": (f) => ({ events: killedTogether(f) }),
   "while hosts are stopped in turn and keep serving": (f) => ({ events: stoppedInTurn(f) }),
   "while all hosts are stopped and serve on": (f) => ({
@@ -102,7 +102,7 @@
     retriesWanted: [[27_500, 40_000]],
   }),
   "while hosts disappear for good": (f) => ({ events: halfDisappearInTurn(f) }),
-  "while most hosts go at once": (f) => ({
+  "while most hosts disappear at once": (f) => ({
     events: mostDisappear(f),
     retriesWanted: [[20_000, 34_000]],
   }),
@@ -113,11 +113,11 @@
       [19_900, 20_000],
     ],
   }),
-  "while all hosts stand still at once": (f) => ({
+  "while all hosts are stalled at once": (f) => ({
     events: allHosts(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
     retriesWanted: [[20_000, 34_000]],
   }),
-  "long after all hosts stood still": (f) => ({
+  "long after all hosts were stalled": (f) => ({
     events: allHosts(f).map((host) => ({ kind: "freeze", at: 16_000, host, ms: 4000 }) as const),
     ms: 40_000,
     retriesWanted: [[29_000, 40_000]],
--- a/test/serving/revoked.test.ts
+++ b/test/serving/revoked.test.ts
@@ -21,7 +21,7 @@
 describe("a request that waits for a seat", () => {
   afterEach(waitingStream.closeAll);
 
-  it("is not sent once its key is taken away", async () => {
+  it("is not sent once its key is revoked", async () => {
     const { ran, runs, seen } = await waiting({ kind: "unknown", why: "the key is unknown" });
     expect({ ran, runs, seen }).deep.equal({ ran: false, runs: 0, seen: ["refuse 401"] });
   });
--- a/test/serving/search.test.ts
+++ b/test/serving/search.test.ts
@@ -83,7 +83,7 @@
     expect(first(search.find(fleetOf(ids(300), over).engines, NEED, "x"))).equal("e7");
   });
 
-  it("reaches for a few engines alone while an entry host has just started", () => {
+  it("compares only a few engines while an entry host has just started", () => {
     const { engines, counts } = fleetOf(ids(300), () => ({ state: undefined, isStarting: true }));
     expect(search.find(engines, NEED, "x")).deep.equal([]);
     expect(counts.reads).most(4);
--- a/test/serving/seat-waiting.test.ts
+++ b/test/serving/seat-waiting.test.ts
@@ -128,7 +128,7 @@
    * grants the seats, which nobody uses or releases. The adapter's slot then counts as in use for good: the adapter can
    * be neither unloaded nor given out, and requests for it are denied as "full" until the daemons restart.
    */
-  it("gives back a seat that it no longer waits for, since its daemon fell silent", async () => {
+  it("withdraws a seat request that the endpoint daemon did not answer in time", async () => {
     const daemon = await fakeEndpointDaemon.open(
       fakeEndpointDaemon.state("i1"),
       fakeEndpointDaemon.holdings(),
--- a/test/serving/seats.test.ts
+++ b/test/serving/seats.test.ts
@@ -73,7 +73,7 @@
     });
   });
 
-  it("are denied at once where they would be late for waiting, unless asked for firmly", async () => {
+  it("denies a seat at once if the wait would make the request late, unless it is firm", async () => {
     const s = await managedEngines.start("i1", 1);
     const other = s.link.ask(managedEngines.seatRequest("other"));
     await other.answer;
@@ -96,7 +96,7 @@
     expect(s.engine.peakHeld).equal(1);
   });
 
-  it("leave an engine alone for a while that is busy with another order", async () => {
+  it("limits the rate of orders to an engine that is busy with another order", async () => {
     const s = await managedEngines.start("i1", 1);
     const other = s.link.ask(managedEngines.seatRequest("other"));
     await other.answer;
@@ -108,7 +108,7 @@
     expect(s.engine.orders.length).below(24);
   });
 
-  it("order an outdated adapter's new version once, however long its replacement takes", async () => {
+  it("orders the new version of an outdated adapter once, however long the replacement takes", async () => {
     const s = await managedEngines.start();
     const old = s.link.ask(managedEngines.seatRequest("a"));
     await old.answer;
@@ -119,7 +119,7 @@
     expect(s.engine.orders).deep.equal(["load a", "load a"]);
   });
 
-  it("take no turn at the weight store for a base model that the engine has itself", async () => {
+  it("takes no turn at the weight store for a base model that the engine has locally", async () => {
     const s = await managedEngines.start();
     s.engine.localModels = ["m"];
     s.engine.hasModel = false;
--- a/test/serving/suspicion.test.ts
+++ b/test/serving/suspicion.test.ts
@@ -103,7 +103,7 @@
     }
   });
 
-  it("leaves those in peace that died in company", () => {
+  it("does not extend to innocent requests that were on the same workers", () => {
     const together = [1, 2, 3].flatMap((w) => [ended(1, w), ended(10 + w, w), ended(20 + w, w)]);
     const records = recordsOf([...together, ended(11, 2)]);
     expect(kindOf(records, 1)).equal("quarantined");
@@ -111,7 +111,7 @@
       expect(kindOf(records, innocent)).equal("free");
   });
 
-  it("asks for more where workers end by themselves as well", () => {
+  it("needs more crashes if workers crash anyway", () => {
     // Of 13 workers one crashes each second, before and after.
     const others = Array.from({ length: 20 }, (_, n) =>
       ended(100 + n, 100 + n, { ageMs: n * 1000 }),
@@ -192,7 +192,7 @@
     expect(at.isEmpty).equal(false);
   });
 
-  it("goes through a relay to all others once, and to those that come later", () => {
+  it("are relayed to all others once, and to those that connect later", () => {
     const told = new Map<string, seatMessages.FromEndpoint[]>();
     const client = (host: string) => {
       const got: seatMessages.FromEndpoint[] = [];
--- a/test/serving/upstream.test.ts
+++ b/test/serving/upstream.test.ts
@@ -44,7 +44,7 @@
     expect(cut).equal("broke off");
   });
 
-  it("takes an answer without a length as cut at a later reset", async () => {
+  it("takes an answer without a length as cut off at a later reset", async () => {
     const cut = await outcomeOf((s) => {
       s.write(`${HEAD}connection: close\r\n\r\nabc`);
       setTimeout(() => s.resetAndDestroy(), 30);
--- a/test/serving/withheld.test.ts
+++ b/test/serving/withheld.test.ts
@@ -104,7 +104,7 @@
     expect([setup.first.seen.arrivals, second.seen.arrivals]).deep.equal([CONNECTIONS, 1]);
   });
 
-  it("is not sent once its key is taken away", async () => {
+  it("is not sent once its key is revoked", async () => {
     const setup = await openWithBusyConnections();
     const { end } = await setup.wait("r");
     setup.judge({ kind: "unknown", why: "the key is unknown" });
