--- a/src/host/feed.ts
+++ b/src/host/feed.ts
@@ -307,6 +307,6 @@
     }
     await headChecks;
     if (failures.length > 0) throw failures[0];
-    if (!signal.aborted) throw new Error("the store closed the watch");
+    if (!signal.aborted) throw new Error("the watch ended unexpectedly");
   }
 }
