--- a/src/host/feed.ts
+++ b/src/host/feed.ts
@@ -108,8 +108,13 @@
         .slice(0, MAX_PAGE_CHANGES);
       return { kind: "changes", changes };
     }
-    const { id, revision: at } = this.current;
-    return { kind: "whole", revision: at, id, objects: [...this.current.objects.values()] };
+    const { id, revision: currentRevision } = this.current;
+    return {
+      kind: "whole",
+      revision: currentRevision,
+      id,
+      objects: [...this.current.objects.values()],
+    };
   }
 
   /**
@@ -220,8 +225,8 @@
     return changes;
   }
 
-  private learnSnapshot(now: intent.Intent): void {
-    if (now.revision > this.current.revision) this.putInForce(now, []);
+  private learnSnapshot(snapshot: intent.Intent): void {
+    if (snapshot.revision > this.current.revision) this.putInForce(snapshot, []);
   }
 
   /** Whether this daemon is one of those in its failure domain that watch the store. */
--- a/src/host/settings.ts
+++ b/src/host/settings.ts
@@ -14,7 +14,7 @@
   /** The expected form, for error messages and `--help`. */
   readonly form: string;
   readonly default?: string;
-  /** Whether the value is a secret, which error messages never show. */
+  /** Whether the value is a secret, which is never shown. */
   readonly secret?: boolean;
   readonly schema: zod.ZodType<T>;
 }
@@ -24,6 +24,7 @@
   override readonly name = "SettingError";
 }
 
+/** Settings by their key in the result. */
 type Table = Readonly<Record<string, Setting<unknown>>>;
 /** The validated values of a table. */
 export type Values<T extends Table> = {
@@ -34,6 +35,7 @@
   return `SUMACFIELD_${name.replaceAll(/[A-Z]/g, (c) => `_${c}`).toUpperCase()}`;
 }
 
+/** What every kind of setting takes besides its name. */
 type Base = Pick<Setting<unknown>, "help" | "default" | "secret">;
 
 function make<T>(name: string, form: string, schema: zod.ZodType<T>, base: Base): Setting<T> {
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -269,8 +269,8 @@
 /** The TypeScript files under a folder. */
 function sources(folder: string): readonly string[] {
   return fs.readdirSync(folder, { withFileTypes: true }).flatMap((f) => {
-    const at = path.join(folder, f.name);
-    if (f.isDirectory()) return sources(at);
-    return at.endsWith(".ts") ? [at] : [];
+    const fullPath = path.join(folder, f.name);
+    if (f.isDirectory()) return sources(fullPath);
+    return fullPath.endsWith(".ts") ? [fullPath] : [];
   });
 }
--- a/test/platform/processes.test.ts
+++ b/test/platform/processes.test.ts
@@ -91,8 +91,8 @@
     return file;
   }
 
-  function ask(id: string, adapter: string, at = "/c/x") {
-    return undici.request(`http://127.0.0.1:${ports[0]}${at}`, {
+  function ask(id: string, adapter: string, urlPath = "/c/x") {
+    return undici.request(`http://127.0.0.1:${ports[0]}${urlPath}`, {
       method: "POST",
       headers: {
         host: "a.example",
@@ -198,8 +198,8 @@
     await eventually(() =>
       entry.lines().some((l) => l.msg === "A request is over." && l.request === "r1"),
     );
-    const over = entry.lines().find((l) => l.request === "r1");
-    expect(over).include({ ending: "whole", endpoint: worker.instance, sends: 1 });
+    const ended = entry.lines().find((l) => l.request === "r1");
+    expect(ended).include({ ending: "whole", endpoint: worker.instance, sends: 1 });
     await eventually(() => endpoint.lines().some((l) => l.request === "r1"));
   });
 
