--- a/src/endpoint/answer.ts
+++ b/src/endpoint/answer.ts
@@ -1,24 +1,24 @@
 /**
- * The engine's answer on its way out. Nothing is passed on that does not name the very adapter,
- * version and attempt asked for; what breaks off is never ended as if whole.
+ * Validates the engine's answer before it is passed on: it must name the adapter, version and attempt
+ * that were requested. An answer that breaks off ends with an error, never as if it were complete.
  * @module
  */
 import type * as stream from "node:stream";
 import * as events from "eventsource-parser";
 import * as outcome from "../request/outcome.js";
 
-/** What the answer must say of itself, and what callers are told instead of the engine's name. */
+/** What the answer must contain, and the public name that replaces the engine's name for callers. */
 export interface Expected {
-  /** Name the engine was asked for. */
+  /** Adapter name that was sent to the engine. */
   readonly name: string;
-  /** The attempt's id, part of the answer's id. */
+  /** The attempt's id; the answer's id must contain it. */
   readonly id: string;
-  /** `adapter@version`. */
+  /** `adapter@version`, the public name. */
   readonly target: string;
   readonly endpoint: string;
 }
 
-const DONE = "[DONE]";
+const END_MARKER = "[DONE]";
 
 function mismatch(e: Expected, message: string): outcome.StepError {
   return new outcome.StepError({
@@ -30,7 +30,7 @@
   });
 }
 
-function broken(e: Expected, message: string): outcome.StepError {
+function linkBroken(e: Expected, message: string): outcome.StepError {
   return new outcome.StepError({
     code: "link_broken",
     outcome: "unknown",
@@ -40,24 +40,24 @@
   });
 }
 
-/** Checks one object of the engine's answer, and renders it with the public name. */
+/** Validates one JSON object of the engine's answer and replaces the engine's name by the public one. */
 export function check(text: string, e: Expected): string {
   let fields: Record<string, unknown>;
   try {
     fields = JSON.parse(text) as Record<string, unknown>;
   } catch {
-    throw broken(e, "The engine's answer is not JSON.");
+    throw linkBroken(e, "The engine's answer is not JSON.");
   }
   if (fields.model !== e.name) {
-    throw mismatch(e, `The engine answered for another adapter than ${e.target}.`);
+    throw mismatch(e, `The engine's answer names another adapter than ${e.target}.`);
   }
   if (typeof fields.id !== "string" || !fields.id.includes(e.id)) {
-    throw mismatch(e, "The engine answered another request.");
+    throw mismatch(e, "The engine's answer belongs to another request.");
   }
   return JSON.stringify({ ...fields, model: e.target });
 }
 
-/** Reads a whole answer of at most `limit` bytes and checks it. */
+/** Reads a complete answer of at most `limit` bytes and validates it. */
 export async function whole(body: stream.Readable, e: Expected, limit: number): Promise<string> {
   const parts: Buffer[] = [];
   let size = 0;
@@ -68,30 +68,33 @@
       if (size > limit) break;
     }
   } catch (err) {
-    throw broken(e, `The engine's answer broke off: ${err instanceof Error ? err.message : ""}.`);
+    throw linkBroken(
+      e,
+      `The engine's answer broke off: ${err instanceof Error ? err.message : ""}.`,
+    );
   }
   if (size > limit)
-    throw mismatch(e, `The engine's answer is over ${limit} bytes; ask for a stream.`);
+    throw mismatch(e, `The engine's answer is larger than ${limit} bytes; request a stream.`);
   return check(Buffer.concat(parts).toString(), e);
 }
 
 /**
- * The checked events of a streamed answer, each ready to be written. Throws where the stream ends
- * without the engine's own end mark.
+ * Yields the validated events of a streamed answer, each serialized as a server-sent event. `limit`
+ * bounds the bytes of one event. Throws if the stream ends without the engine's `[DONE]` marker.
  */
 export async function* streamed(
   body: stream.Readable,
   e: Expected,
   limit: number,
 ): AsyncGenerator<string> {
-  let ready: string[] = [];
+  let pending: string[] = [];
   let size = 0;
   const seen = { done: false };
   const parser = events.createParser({
     onEvent: ({ data }) => {
-      seen.done = data === DONE;
+      seen.done = data === END_MARKER;
       size = 0;
-      ready.push(`data: ${seen.done ? DONE : check(data, e)}\n\n`);
+      pending.push(`data: ${seen.done ? END_MARKER : check(data, e)}\n\n`);
     },
   });
   const decoder = new TextDecoder();
@@ -99,14 +102,18 @@
     for await (const part of body as AsyncIterable<Buffer>) {
       size += part.length;
       parser.feed(decoder.decode(part, { stream: true }));
-      if (size > limit) throw mismatch(e, `One event of the engine is over ${limit} bytes.`);
-      const out = ready;
-      ready = [];
+      if (size > limit)
+        throw mismatch(e, `An event of the engine's stream is larger than ${limit} bytes.`);
+      const out = pending;
+      pending = [];
       yield* out;
     }
   } catch (err) {
     if (err instanceof outcome.StepError) throw err;
-    throw broken(e, `The engine's stream broke off: ${err instanceof Error ? err.message : ""}.`);
+    throw linkBroken(
+      e,
+      `The engine's stream broke off: ${err instanceof Error ? err.message : ""}.`,
+    );
   }
-  if (!seen.done) throw broken(e, "The engine's stream ended without its end mark.");
+  if (!seen.done) throw linkBroken(e, "The engine's stream ended without its [DONE] marker.");
 }
--- a/src/endpoint/daemon.ts
+++ b/src/endpoint/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * The endpoint daemon: one beside each engine or plain service.
+ * The endpoint daemon, which runs beside each engine or plain service.
  * @module
  */
 import * as intents from "../contract/intent.js";
@@ -24,69 +24,69 @@
   backendUrl: settings.url("backendUrl", {
     help: "The engine or plain service beside this daemon.",
   }),
-  queue: settings.int("queue", 1, { help: "Attempts that may wait here.", default: "256" }),
+  queue: settings.int("queue", 1, { help: "Largest number of waiting attempts.", default: "256" }),
   loads: settings.int("loads", 1, {
-    help: "Loads under way at once on this engine.",
+    help: "Largest number of concurrent loads on this engine.",
     default: "1",
   }),
   parallelLoads: settings.int("parallelLoads", 1, {
-    help: "Loads that the weight store runs at full speed for the whole deployment.",
+    help: "Loads that the weight store runs at full speed, for the whole deployment.",
     default: "1",
   }),
   leaseMs: settings.int("leaseMs", 1000, {
-    help: "Life of this daemon's hold on the engine unless kept alive, in ms.",
+    help: "Duration of this daemon's lease on the engine unless renewed, in ms.",
     default: "15000",
   }),
   engineEveryMs: settings.int("engineEveryMs", 10, {
-    help: "Time between looks at the engine, in ms.",
+    help: "Time between polls of the engine, in ms.",
     default: "500",
   }),
   engineTimeoutMs: settings.int("engineTimeoutMs", 1, {
-    help: "Patience with the engine's health and lists, in ms.",
+    help: "Timeout of calls for the engine's health and list of models, in ms.",
     default: "2000",
   }),
   engineLagMs: settings.int("engineLagMs", 0, {
-    help: "How far the engine's counts may lag, in ms.",
+    help: "Time by which the request counts of the engine may lag behind, in ms.",
     default: "2000",
   }),
   engineCancelMs: settings.int("engineCancelMs", 0, {
-    help: "Time after which a cancelled request has surely ended, whatever the counts say, in ms.",
+    help: "Time after which a cancelled request has certainly ended, whatever the counts show, in ms.",
     default: "30000",
   }),
   orderMs: settings.int("orderMs", 1, {
-    help: "Patience with a load or unload, in ms.",
+    help: "Timeout of a load or unload, in ms.",
     default: "60000",
   }),
   retryLoadMs: settings.int("retryLoadMs", 0, {
-    help: "Time after a failed load before that adapter is tried here again, in ms.",
+    help: "Time to wait after a failed load before the same adapter is loaded again, in ms.",
     default: "2000",
   }),
   halfLifeMs: settings.int("halfLifeMs", 1, {
-    help: "Time in which a past request loses half its weight in popularity, in ms.",
+    help: "Time after which a past request has half its weight in popularity, in ms.",
     default: "300000",
   }),
   ageMs: settings.int("ageMs", 1, {
-    help: "Waiting that doubles the score of a load, in ms.",
+    help: "Waiting time that doubles the score of a load, in ms.",
     default: "1000",
   }),
   turnMinMs: settings.int("turnMinMs", 1, {
-    help: "Shortest wait between questions for a turn at the weight store, in ms.",
+    help: "Shortest time between requests for a turn at the weight store, in ms.",
     default: "20",
   }),
   turnMaxMs: settings.int("turnMaxMs", 1, {
-    help: "Longest wait between questions for a turn at the weight store, in ms.",
+    help: "Longest time between requests for a turn at the weight store, in ms.",
     default: "1000",
   }),
   turnHoldMs: settings.int("turnHoldMs", 1, {
-    help: "Time after which a turn that was neither kept nor given back is free, in ms.",
+    help: "Time after which a turn that was neither ended nor renewed expires, in ms.",
     default: "2000",
   }),
   guessLoadMs: settings.int("guessLoadMs", 0, {
-    help: "First guess of one load, in ms, until some were seen.",
+    help: "Initial estimate of the duration of a load, in ms.",
     default: "500",
   }),
   guessServiceMs: settings.int("guessServiceMs", 0, {
-    help: "First guess of one answer, in ms, until some were seen.",
+    help: "Initial estimate of the duration of an answer, in ms.",
     default: "1000",
   }),
   requestLimit: settings.int("requestLimit", 1, {
@@ -94,25 +94,27 @@
     default: "1048576",
   }),
   answerLimit: settings.int("answerLimit", 1, {
-    help: "Largest answer that is not a stream, in bytes.",
+    help: "Largest answer that is not streamed, and largest event of one that is, in bytes.",
     default: "4194304",
   }),
 } as const;
+/** Values of the settings. */
 export type Config = settings.Values<typeof SETTINGS>;
 
-/** A daemon that runs. */
+/** A running daemon. */
 export interface Running {
   /** `ip:port` of the link server. */
   readonly linkAddress: string;
   readonly parts: daemon.Parts;
+  /** The admission gate; undefined until the intent with this endpoint is known. */
   readonly gate: () => gate.Gate | undefined;
-  /** Stops gracefully: no request in progress is cut off. */
+  /** Shuts down gracefully: waits at least `drainMs` and until all requests have ended. */
   readonly stop: () => Promise<void>;
-  /** Stops as if killed: connections break, nothing is handed over. */
+  /** Stops as if killed: breaks all connections and does not hand over the engine. */
   readonly kill: () => void;
 }
 
-/** Starts the daemon; resolves when it listens, which is before it takes work. */
+/** Starts the daemon; resolves when it listens, which is before it accepts work. */
 export async function start(
   cfg: Config,
   clk: clock.Clock = clock.system,
@@ -125,7 +127,7 @@
     { endpoint: cfg.name, epoch: parts.epoch, ttlMs: cfg.leaseMs },
     { clock: clk, log: parts.logOf("lease"), store: parts.store },
   );
-  const desk = new turn.Desk(
+  const coordinator = new turn.Desk(
     {
       parallel: cfg.parallelLoads,
       holdMs: cfg.turnHoldMs,
@@ -140,10 +142,10 @@
       peer: parts.peer,
     },
   );
-  let at: { readonly gate: gate.Gate; readonly object: objects.Endpoint } | undefined;
-  let leaving = false;
+  let current: { readonly gate: gate.Gate; readonly object: objects.Endpoint } | undefined;
+  let stopping = false;
 
-  const isEngine = (): boolean => at?.object.spec.serves === "engine";
+  const servesEngine = (): boolean => current?.object.spec.serves === "engine";
   const engine = vllm.open({
     url: cfg.backendUrl,
     timeoutMs: cfg.engineTimeoutMs,
@@ -151,7 +153,7 @@
     connections: cfg.queue,
   });
 
-  function open(object: objects.Endpoint): gate.Gate {
+  function openGate(object: objects.Endpoint): gate.Gate {
     return new gate.Gate(
       {
         name: cfg.name,
@@ -180,7 +182,7 @@
         log: parts.logOf("gate"),
         metrics: parts.metrics,
         engine: object.spec.serves === "engine" ? engine : undefined,
-        turn: desk.own(),
+        turn: coordinator.own(),
         hold: {
           fence: () => holder.fence(),
           trusts: (epoch) => holder.trusts(epoch),
@@ -192,20 +194,20 @@
     );
   }
 
-  function follow(now: intents.Intent): void {
-    const object = intents.find(now, "Endpoint", cfg.name);
+  function applyIntent(intent: intents.Intent): void {
+    const object = intents.find(intent, "Endpoint", cfg.name);
     if (!object) return;
-    at ??= { gate: open(object), object };
-    at.gate.resize(object.spec.seats, object.spec.slots);
-    if (intents.drained(now, object) || leaving) at.gate.drain();
-    else at.gate.resume();
+    current ??= { gate: openGate(object), object };
+    current.gate.resize(object.spec.seats, object.spec.slots);
+    if (intents.drained(intent, object) || stopping) current.gate.drain();
+    else current.gate.resume();
   }
-  parts.feed.onChange(follow);
+  parts.feed.onChange(applyIntent);
 
   const handler: control.Handler = {
-    news: () => at?.gate.news(),
+    news: () => current?.gate.news(),
     status: () => {
-      const news = at?.gate.news();
+      const news = current?.gate.news();
       return {
         ...daemon.commonStatus(parts),
         role: "endpoint",
@@ -217,10 +219,10 @@
     },
     changesAfter: (revision) => parts.feed.after(revision),
     learn: (page) => parts.feed.learn(page),
-    cancel: (id, epoch) => at?.gate.cancel(id, epoch) ?? { kind: "unknown_epoch" },
-    askTurn: (ask) => desk.ask(ask),
+    cancel: (id, epoch) => current?.gate.cancel(id, epoch) ?? { kind: "unknown_epoch" },
+    askTurn: (ask) => coordinator.ask(ask),
     endTurn: (name) => {
-      desk.end(name);
+      coordinator.end(name);
     },
     explain: () => [],
   };
@@ -229,7 +231,7 @@
     {
       clock: clk,
       log: parts.logOf("link"),
-      gate: () => at?.gate,
+      gate: () => current?.gate,
       verify: parts.verify,
       control: controls.serve(cfg.name, handler, parts.verify, parts.traffic),
       engine,
@@ -248,30 +250,33 @@
       clk,
       holder.everyMs,
       stop.signal,
-      () => (isEngine() ? holder.step() : undefined),
+      () => (servesEngine() ? holder.step() : undefined),
       (err) => {
-        lg.warn(`The hold on the engine was not renewed: ${errors.why(err)}`);
+        lg.warn(`Renewing the lease on the engine failed: ${errors.why(err)}`);
       },
     ),
-    look(),
+    pollEngine(),
   ];
   await fromPeer;
 
-  /** The first look waits for the first try at the lease, so that adapters can be taken over. */
-  async function look(): Promise<void> {
-    while (!stop.signal.aborted && !isEngine()) {
+  /**
+   * Polls the engine at an interval. The first poll waits for the first attempt to get the lease, so
+   * that adapters on the engine can be taken over.
+   */
+  async function pollEngine(): Promise<void> {
+    while (!stop.signal.aborted && !servesEngine()) {
       await clock.sleep(clk, cfg.engineEveryMs, stop.signal);
     }
     await holder.step().catch((err: unknown) => {
-      lg.warn(`Starting without a hold on the engine: ${errors.why(err)}`);
+      lg.warn(`Starting without the lease on the engine: ${errors.why(err)}`);
     });
     await clock.every(
       clk,
       cfg.engineEveryMs,
       stop.signal,
-      () => at?.gate.look(),
+      () => current?.gate.look(),
       (err) => {
-        lg.error(`A look at the engine broke off: ${errors.why(err)}`);
+        lg.error(`Polling the engine failed unexpectedly: ${errors.why(err)}`);
       },
     );
   }
@@ -279,25 +284,25 @@
   return {
     linkAddress,
     parts,
-    gate: () => at?.gate,
+    gate: () => current?.gate,
     stop: async () => {
-      leaving = true;
-      lg.info("Leaving: no new work is taken.");
-      at?.gate.drain();
-      await Promise.all([at?.gate.quiet(), clock.sleep(clk, cfg.drainMs)]);
+      stopping = true;
+      lg.info("Draining; no new work is accepted.");
+      current?.gate.drain();
+      await Promise.all([current?.gate.quiet(), clock.sleep(clk, cfg.drainMs)]);
       stop.abort();
       await daemon.close(link, clk);
       await holder.handOver().catch((err: unknown) => {
-        lg.warn(`The engine was not handed over: ${errors.why(err)}`);
+        lg.warn(`Handing over the engine failed: ${errors.why(err)}`);
       });
       await Promise.all(tasks);
-      at?.gate.stop();
+      current?.gate.stop();
       parts.metrics.close();
       lg.info("Stopped; nothing was cut off.");
     },
     kill: () => {
       stop.abort();
-      at?.gate.stop();
+      current?.gate.stop();
       link.closeAllConnections();
       link.close();
       parts.metrics.close();
@@ -305,7 +310,7 @@
   };
 }
 
-function sourceOf(now: intents.Intent, target: string): string | undefined {
-  const found = intents.resolve(now, target);
-  return found?.adapter.spec.versions.find((v) => v.version === found.version)?.source;
+function sourceOf(intent: intents.Intent, target: string): string | undefined {
+  const resolved = intents.resolve(intent, target);
+  return resolved?.adapter.spec.versions.find((v) => v.version === resolved.version)?.source;
 }
--- a/src/endpoint/engine.ts
+++ b/src/endpoint/engine.ts
@@ -1,31 +1,34 @@
 /**
- * The engine beside an endpoint daemon, as narrow as the daemon needs it.
+ * The interface through which an endpoint daemon uses its engine.
  * @module
  */
 import type * as stream from "node:stream";
 
-/** How an engine says it is. Its counts lag; a figure that it does not give is undefined. */
+/**
+ * The state that an engine reports. Its counts lag behind; a value that the engine does not report is
+ * undefined.
+ */
 export interface Health {
-  /** Start of the engine's process, in seconds since 1970; another value means a cold start. */
+  /** Start of the engine's process, in seconds since 1970; a changed value means that it restarted without its adapters. */
   readonly startedAt: number | undefined;
   readonly running: number | undefined;
   readonly waiting: number | undefined;
 }
 
-/** One generation asked of the engine. */
+/** One generation request to the engine. */
 export interface Call {
   /** Name under which the adapter was loaded. */
   readonly name: string;
-  /** Given to the engine as the request's id, so that its answer can be told from any other. */
+  /** Sent to the engine as the request's id, so that its answer can be matched to this request. */
   readonly id: string;
   readonly path: string;
   /** The request's fields; the engine's name for the adapter replaces `model`. */
   readonly fields: Readonly<Record<string, unknown>>;
-  /** Smaller goes first, as the engine's own scheduler has it. */
+  /** Priority in the engine's scheduler; smaller values go first. */
   readonly priority: number;
 }
 
-/** The head of the engine's answer, with its body to come. */
+/** The head of the engine's answer; its body is still to be read. */
 export interface Answer {
   readonly status: number;
   readonly contentType: string;
@@ -33,14 +36,14 @@
 }
 
 /**
- * The engine. Calls throw a `StepError` of step `engine`: `not_run` when the engine was certainly not
- * reached or refused, `unknown` when a reply was lost.
+ * An engine. Failed calls throw a `StepError` of step `engine`: its outcome is `not_run` when the
+ * engine was certainly not reached, `failed` when it refused, and `unknown` when its reply was lost.
  */
 export interface Engine {
   readonly health: () => Promise<Health>;
-  /** Names of the adapters loaded now. */
+  /** Names of the adapters that are loaded. */
   readonly models: () => Promise<readonly string[]>;
-  /** Loads an adapter from `source` under `name`; `fence` is this holder's fencing number. */
+  /** Loads an adapter from `source` under `name`; `fence` is the fencing number of this daemon. */
   readonly load: (name: string, source: string, fence: number) => Promise<void>;
   readonly unload: (name: string, fence: number) => Promise<void>;
   readonly run: (call: Call, signal: AbortSignal) => Promise<Answer>;
--- a/src/endpoint/gate.ts
+++ b/src/endpoint/gate.ts
@@ -1,6 +1,7 @@
 /**
- * The last gate before an engine or service. This task owns what waits and what runs, and carries out
- * the plan; what the engine holds is in its holdings, which alone give the engine orders.
+ * Admission control in front of an engine or service. The gate owns the waiting and running attempts
+ * and carries out the plan. Its adapter manager tracks the adapters on the engine, and only that sends
+ * the engine load and unload orders.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -15,39 +16,45 @@
 import * as slot from "./slot.js";
 import * as smooth from "./smooth.js";
 
-/** An attempt's place on the engine. */
+/** Permission to run one attempt on the engine. */
 export interface Seat {
-  /** Name to ask the engine for. */
+  /** Adapter name to send to the engine. */
   readonly name: string;
-  /** Milliseconds the attempt waited for its adapter to be loaded. */
+  /** Milliseconds that the attempt waited for its adapter to be loaded. */
   readonly stallMs: number;
+  /** Time of dispatch, in monotonic ms. */
   readonly dispatchedAt: number;
-  /** The last byte is out. */
+  /** Frees the seat after the last byte of the answer. */
   readonly end: () => void;
-  /** Cancelled: the place is kept until the engine's counts show that it stopped. */
+  /**
+   * Marks the attempt as cancelled. The seat stays taken until the engine's counts show that the
+   * attempt stopped, or until the longest time for a cancel has passed.
+   */
   readonly abandon: () => void;
-  /** The engine said it does not hold the adapter, so nothing ran: waits for another place. */
+  /** Waits for another seat after the engine answered that the adapter is not loaded, so nothing ran. */
   readonly again: () => Promise<Seat>;
 }
 
-interface Offer {
+/** A waiting attempt and the callbacks that settle its admission. */
+interface PendingAttempt {
   readonly attempt: wire.Attempt;
   readonly resolve: (seat: Seat) => void;
   readonly reject: (err: outcome.StepError) => void;
 }
 
-/** `adapter@version` of an attempt for a model, the service's name otherwise. */
+/** `adapter@version` of an attempt for a model; otherwise the service's name. */
 export function targetOf(work: wire.Attempt["work"]): string {
   return work.kind === "model" ? `${work.adapter}@${work.version}` : work.service;
 }
 
+/** Admits attempts, dispatches them to the engine, and requests adapter loads. */
 export class Gate {
-  private readonly cell: holdings.Cell;
-  private readonly holdings: holdings.Holdings;
-  private readonly life: ReturnType<typeof life.start>;
+  private readonly shared: holdings.Cell;
+  private readonly adapters: holdings.Holdings;
+  private readonly lifecycle: ReturnType<typeof life.start>;
   private readonly register: register.Register;
-  private readonly offers = new Map<string, Offer>();
-  private wake: clock.Timer | undefined;
+  private readonly pending = new Map<string, PendingAttempt>();
+  private deadlineTimer: clock.Timer | undefined;
   private seq = 0;
   private serviceMs: number;
   private idleWaiters: (() => void)[] = [];
@@ -57,79 +64,80 @@
     private readonly opts: setup.Options,
     private readonly deps: setup.Deps,
   ) {
-    this.cell = { state: plan.idle(opts.plan, opts.slots, opts.halfLifeMs) };
-    this.holdings = new holdings.Holdings(opts, deps, this.cell, {
-      serving: () => !this.stopped && this.life.state() === "serving",
+    this.shared = { state: plan.idle(opts.plan, opts.slots, opts.halfLifeMs) };
+    this.adapters = new holdings.Holdings(opts, deps, this.shared, {
+      serving: () => !this.stopped && this.lifecycle.state() === "serving",
       learned: () => {
-        if (this.life.state() === "learning") this.life.send({ type: "learned" });
+        if (this.lifecycle.state() === "learning") this.lifecycle.send({ type: "engine_known" });
       },
       lost: () => {
-        this.life.send({ type: "lost" });
+        this.lifecycle.send({ type: "engine_unknown" });
       },
       engineOut: () => {
         this.withdrawAll("not_ready", "The engine is out.", opts.healthMs);
       },
       refuseTarget: (target, code, message) => {
-        this.refuseTarget(target, code, message);
+        this.withdrawTarget(target, code, message);
       },
       release: (id) => {
         this.release(id);
       },
       changed: () => {
-        this.tick();
+        this.runPlan();
       },
     });
     this.register = new register.Register(deps.clock);
     this.serviceMs = opts.guessServiceMs;
-    this.life = life.start((now) => {
-      deps.log.info(`The daemon is ${now}.`);
+    this.lifecycle = life.start((now) => {
+      deps.log.info(`Lifecycle state: ${now}.`);
     });
-    if (!deps.engine) this.life.send({ type: "learned" });
+    if (!deps.engine) this.lifecycle.send({ type: "engine_known" });
   }
 
-  /** How this endpoint is now. */
+  /** The current state of this endpoint, numbered, for entry daemons. */
   news(): wire.News {
     this.seq++;
     return {
       endpoint: this.opts.name,
       epoch: this.opts.epoch,
       seq: this.seq,
-      state: this.deps.hold.lost() ? "learning" : this.life.state(),
-      running: this.cell.state.running.size,
-      waiting: this.cell.state.waiting.length,
-      seats: this.cell.state.opts.seats,
-      loaded: slot.targets(this.cell.state.slots, "loaded"),
-      coming: this.coming(),
+      state: this.deps.hold.lost() ? "learning" : this.lifecycle.state(),
+      running: this.shared.state.running.size,
+      waiting: this.shared.state.waiting.length,
+      seats: this.shared.state.opts.seats,
+      loaded: slot.targets(this.shared.state.slots, "loaded"),
+      coming: this.upcomingAdapters(),
       serviceMs: Math.round(this.serviceMs),
-      loadMs: Math.round(this.holdings.loadMs()),
+      loadMs: Math.round(this.adapters.loadMs()),
       revision: this.deps.revision(),
     };
   }
 
-  private coming(): readonly string[] {
-    const wanted = this.cell.state.waiting
-      .filter((w) => w.needsAdapter && !slot.has(this.cell.state.slots, w.target))
+  /** Adapters that are being loaded or that waiting attempts need. */
+  private upcomingAdapters(): readonly string[] {
+    const wanted = this.shared.state.waiting
+      .filter((w) => w.needsAdapter && !slot.has(this.shared.state.slots, w.target))
       .map((w) => w.target);
-    return [...new Set([...slot.targets(this.cell.state.slots, "loading"), ...wanted])];
+    return [...new Set([...slot.targets(this.shared.state.slots, "loading"), ...wanted])];
   }
 
-  /** The slots, for tests and `status`. */
+  /** The adapter slots, for tests and `status`. */
   slots(): slot.Slots {
-    return this.cell.state.slots;
+    return this.shared.state.slots;
   }
 
   /**
-   * Takes an attempt and resolves when it may go to the engine. Rejects with a `StepError` of
-   * outcome `not_run`: then it was not dispatched and never will be.
+   * Queues an attempt and resolves when it may run on the engine. Rejects with a `StepError` of
+   * outcome `not_run` if the attempt was not dispatched and never will be.
    */
   admit(a: wire.Attempt, signal: AbortSignal): Promise<Seat> {
-    const refusal = this.refusal(a) ?? this.registered(a);
+    const refusal = this.checkAdmission(a) ?? this.checkRegistered(a);
     if (refusal) return Promise.reject(refusal);
     const now = this.deps.clock.mono();
     const seat = new Promise<Seat>((resolve, reject) => {
-      this.offers.set(a.id, { attempt: a, resolve, reject });
+      this.pending.set(a.id, { attempt: a, resolve, reject });
     });
-    this.cell.state = plan.arrive(this.cell.state, {
+    this.shared.state = plan.arrive(this.shared.state, {
       id: a.id,
       target: targetOf(a.work),
       caller: a.caller,
@@ -141,204 +149,220 @@
     signal.addEventListener(
       "abort",
       () => {
-        this.withdraw(a.id, "cancelled", "The caller went away before the work began.");
+        this.withdraw(
+          a.id,
+          "cancelled",
+          "The caller disconnected before the attempt was dispatched.",
+        );
       },
       { once: true },
     );
-    this.tick();
+    this.runPlan();
     return seat;
   }
 
-  private refuse(code: outcome.Code, message: string, retryAfterMs?: number): outcome.StepError {
+  private notRun(code: outcome.Code, message: string, retryAfterMs?: number): outcome.StepError {
     return outcome.notRun(code, "admit", this.opts.name, message, retryAfterMs);
   }
 
-  private registered(a: wire.Attempt): outcome.StepError | undefined {
+  private checkRegistered(a: wire.Attempt): outcome.StepError | undefined {
     if (this.register.open(a.id)) return undefined;
-    return this.refuse("duplicate", "This attempt was here before, or was given up.");
+    return this.notRun("duplicate", "This attempt was already received or given up.");
   }
 
-  private refusal(a: wire.Attempt): outcome.StepError | undefined {
+  private checkAdmission(a: wire.Attempt): outcome.StepError | undefined {
     if (a.epoch !== this.opts.epoch) {
-      return this.refuse(
+      return this.notRun(
         "stale_epoch",
-        "The attempt was meant for an earlier life of this daemon.",
+        "The attempt was addressed to an earlier start of this daemon.",
       );
     }
     if (this.deps.hold.lost()) {
-      return this.refuse("not_ready", "Another daemon holds this engine.", this.opts.healthMs);
+      return this.notRun("not_ready", "Another daemon holds this engine.", this.opts.healthMs);
     }
-    switch (this.life.state()) {
+    switch (this.lifecycle.state()) {
       case "learning":
-        return this.refuse("not_ready", "The engine's state is not known yet.", this.opts.healthMs);
+        return this.notRun("not_ready", "The engine's state is not known yet.", this.opts.healthMs);
       case "draining":
-        return this.refuse("leaving", "The endpoint is leaving.");
+        return this.notRun("leaving", "The endpoint is draining.");
       case "serving":
         break;
     }
     const target = targetOf(a.work);
-    const backoff = this.holdings.backoffMs(target);
+    const backoff = this.adapters.backoffMs(target);
     if (backoff > 0) {
-      return this.refuse("load_failed", `The last load of ${target} failed.`, backoff);
+      return this.notRun("load_failed", `The last load of ${target} failed.`, backoff);
     }
-    if (!plan.hasRoom(this.cell.state, a.caller, a.queue)) {
-      return this.refuse("overloaded", "The queue is full.", this.waitMs());
+    if (!plan.hasRoom(this.shared.state, a.caller, a.queue)) {
+      return this.notRun("overloaded", "The queue is full.", this.expectedWaitMs());
     }
-    const wait = this.estimate(a);
+    const wait = this.expectedFirstByteMs(a);
     if (wait > a.budgetMs) {
-      return this.refuse(
+      return this.notRun(
         "deadline",
-        `The first byte would take about ${Math.round(wait)} ms, of which ${Math.round(a.budgetMs)} are left.`,
+        `The expected time to the first byte is ${Math.round(wait)} ms, but only ${Math.round(a.budgetMs)} ms are left.`,
         wait - a.budgetMs,
       );
     }
     return undefined;
   }
 
-  /** Milliseconds until a newcomer would get a seat. */
-  private waitMs(): number {
+  /** Expected milliseconds until a new attempt would get a seat. */
+  private expectedWaitMs(): number {
     const ahead =
-      this.cell.state.waiting.length +
-      this.cell.state.running.size +
+      this.shared.state.waiting.length +
+      this.shared.state.running.size +
       1 -
-      this.cell.state.opts.seats;
-    return Math.max(0, (ahead / this.cell.state.opts.seats) * this.serviceMs);
+      this.shared.state.opts.seats;
+    return Math.max(0, (ahead / this.shared.state.opts.seats) * this.serviceMs);
   }
 
-  private estimate(a: wire.Attempt): number {
-    const loaded = a.work.kind === "service" || slot.has(this.cell.state.slots, targetOf(a.work));
-    return this.waitMs() + (loaded ? 0 : this.holdings.loadMs());
+  /** Expected milliseconds until `a` would start, including the load of its adapter. */
+  private expectedFirstByteMs(a: wire.Attempt): number {
+    const loaded = a.work.kind === "service" || slot.has(this.shared.state.slots, targetOf(a.work));
+    return this.expectedWaitMs() + (loaded ? 0 : this.adapters.loadMs());
   }
 
-  /** Gives up an attempt that has not been dispatched, whether or not it has arrived yet. */
+  /** Gives up an attempt that was not dispatched, even if it has not arrived yet. */
   cancel(id: string, epoch: string): control.Fate {
     if (epoch !== this.opts.epoch) return { kind: "unknown_epoch" };
     if (this.register.giveUp(id) === "dispatched") return { kind: "dispatched" };
-    this.withdraw(id, "cancelled", "The entry daemon gave the attempt up.");
+    this.withdraw(id, "cancelled", "The entry daemon gave up the attempt.");
     return { kind: "not_run" };
   }
 
   private withdraw(id: string, code: outcome.Code, message: string, retryAfterMs?: number): void {
-    const offer = this.offers.get(id);
-    if (!offer) return;
-    this.offers.delete(id);
-    this.cell.state = plan.leave(this.cell.state, id);
+    const pending = this.pending.get(id);
+    if (!pending) return;
+    this.pending.delete(id);
+    this.shared.state = plan.leave(this.shared.state, id);
     this.register.giveUp(id);
-    offer.reject(this.refuse(code, message, retryAfterMs));
-    this.settled();
+    pending.reject(this.notRun(code, message, retryAfterMs));
+    this.resolveIfIdle();
   }
 
   private withdrawAll(code: outcome.Code, message: string, retryAfterMs?: number): void {
-    for (const id of [...this.offers.keys()]) this.withdraw(id, code, message, retryAfterMs);
+    for (const id of [...this.pending.keys()]) this.withdraw(id, code, message, retryAfterMs);
   }
 
-  /** Takes new sizes from the intent; slots over a smaller size are emptied as they fall idle. */
+  /**
+   * Applies new sizes from the intent. After a reduction, a new adapter is loaded only in exchange for
+   * an idle one, and the surplus slots are not emptied.
+   */
   resize(seats: number, slots: number): void {
-    const { opts, slots: now } = this.cell.state;
-    if (opts.seats === seats && now.capacity === slots) return;
-    this.cell.state = {
-      ...this.cell.state,
+    const { opts, slots: current } = this.shared.state;
+    if (opts.seats === seats && current.capacity === slots) return;
+    this.shared.state = {
+      ...this.shared.state,
       opts: { ...opts, seats },
-      slots: { ...now, capacity: slots },
+      slots: { ...current, capacity: slots },
     };
-    this.tick();
+    this.runPlan();
   }
 
-  /** Stops taking work and hands back what waits; what runs goes on. */
+  /** Rejects new and waiting attempts; running attempts continue. */
   drain(): void {
-    if (this.life.state() === "draining") return;
-    this.life.send({ type: "drain" });
-    this.withdrawAll("leaving", "The endpoint is leaving.");
+    if (this.lifecycle.state() === "draining") return;
+    this.lifecycle.send({ type: "drain" });
+    this.withdrawAll("leaving", "The endpoint is draining.");
   }
 
-  /** Takes work again after a drain that an operator took back. */
+  /** Accepts work again after an operator ended a drain. */
   resume(): void {
-    this.life.send({ type: "resume" });
-    if (!this.deps.engine) this.life.send({ type: "learned" });
+    this.lifecycle.send({ type: "resume" });
+    if (!this.deps.engine) this.lifecycle.send({ type: "engine_known" });
   }
 
-  /** One look at the engine; see {@link holdings.Holdings.look}. */
+  /** Polls the engine once; see {@link holdings.Holdings.look}. */
   look(): Promise<void> {
-    return this.holdings.look();
+    return this.adapters.look();
   }
 
-  private refuseTarget(target: string, code: outcome.Code, message: string): void {
-    for (const w of this.cell.state.waiting) {
+  private withdrawTarget(target: string, code: outcome.Code, message: string): void {
+    for (const w of this.shared.state.waiting) {
       if (w.target === target) this.withdraw(w.id, code, message, this.opts.retryLoadMs);
     }
   }
 
-  /** Resolves when nothing waits and nothing runs. */
+  /** Resolves when no attempt waits or runs. */
   quiet(): Promise<void> {
-    if (this.cell.state.running.size === 0 && this.offers.size === 0) return Promise.resolve();
+    if (this.shared.state.running.size === 0 && this.pending.size === 0) return Promise.resolve();
     return new Promise((resolve) => this.idleWaiters.push(resolve));
   }
 
-  /** No action is taken after this. */
+  /** Stops carrying out the plan. */
   stop(): void {
     this.stopped = true;
-    this.wake?.cancel();
+    this.deadlineTimer?.cancel();
   }
 
-  private settled(): void {
-    if (this.cell.state.running.size > 0 || this.offers.size > 0) return;
-    for (const done of this.idleWaiters) done();
+  private resolveIfIdle(): void {
+    if (this.shared.state.running.size > 0 || this.pending.size > 0) return;
+    for (const resolve of this.idleWaiters) resolve();
     this.idleWaiters = [];
   }
 
-  private tick(): void {
+  private runPlan(): void {
     if (this.stopped) return;
-    this.wake?.cancel();
+    this.deadlineTimer?.cancel();
     const now = this.deps.clock.mono();
-    for (const action of plan.next(this.cell.state, now)) {
+    for (const action of plan.next(this.shared.state, now)) {
       switch (action.kind) {
         case "dispatch":
           this.dispatch(action.id, action.name, now);
           break;
         case "expire":
-          this.withdraw(action.id, "deadline", "The deadline passed before the work began.", 0);
+          this.withdraw(
+            action.id,
+            "deadline",
+            "The deadline passed before the attempt was dispatched.",
+            0,
+          );
           break;
         case "load":
-          void this.holdings.load();
+          void this.adapters.load();
           break;
       }
     }
-    const due = this.cell.state.waiting.reduce((least, w) => Math.min(least, w.dueAt), Infinity);
-    if (due === Infinity) return;
-    this.wake = this.deps.clock.after(Math.max(1, due - now), () => {
-      this.tick();
+    const nextDueAt = this.shared.state.waiting.reduce(
+      (least, w) => Math.min(least, w.dueAt),
+      Infinity,
+    );
+    if (nextDueAt === Infinity) return;
+    this.deadlineTimer = this.deps.clock.after(Math.max(1, nextDueAt - now), () => {
+      this.runPlan();
     });
   }
 
   private dispatch(id: string, name: string, now: number): void {
-    const offer = this.offers.get(id);
-    const waited = this.cell.state.waiting.find((w) => w.id === id);
-    if (!offer || !waited || this.life.state() !== "serving") return;
-    this.offers.delete(id);
-    this.cell.state = plan.dispatch(this.cell.state, id, name, now);
+    const pending = this.pending.get(id);
+    const waiting = this.shared.state.waiting.find((w) => w.id === id);
+    if (!pending || !waiting || this.lifecycle.state() !== "serving") return;
+    this.pending.delete(id);
+    this.shared.state = plan.dispatch(this.shared.state, id, name, now);
     this.register.dispatched(id);
-    const labels = { caller: waited.caller, class: offer.attempt.class };
-    const loadedAt = this.cell.state.slots.byName.get(name)?.since ?? 0;
-    const stallMs = waited.needsAdapter ? Math.max(0, loadedAt - waited.arrivedAt) : 0;
-    this.deps.metrics.observe("queue_wait", now - waited.arrivedAt - stallMs, labels);
-    if (waited.needsAdapter) this.deps.metrics.observe("load_stall", stallMs, labels);
-    const fill = (100 * this.cell.state.running.size) / this.cell.state.opts.seats;
+    const labels = { caller: waiting.caller, class: pending.attempt.class };
+    const loadedAt = this.shared.state.slots.byName.get(name)?.since ?? 0;
+    const stallMs = waiting.needsAdapter ? Math.max(0, loadedAt - waiting.arrivedAt) : 0;
+    this.deps.metrics.observe("queue_wait", now - waiting.arrivedAt - stallMs, labels);
+    if (waiting.needsAdapter) this.deps.metrics.observe("load_stall", stallMs, labels);
+    const fill = (100 * this.shared.state.running.size) / this.shared.state.opts.seats;
     this.deps.metrics.observe("batch_fill", fill, labels);
-    offer.resolve(this.seat(offer, waited, name, stallMs, now));
+    pending.resolve(this.makeSeat(pending, waiting, name, stallMs, now));
   }
 
-  private seat(
-    offer: Offer,
-    waited: plan.Waiting,
+  private makeSeat(
+    pending: PendingAttempt,
+    waiting: plan.Waiting,
     name: string,
     stallMs: number,
     dispatchedAt: number,
   ): Seat {
-    const { id } = waited;
-    let open = true;
+    const { id } = waiting;
+    let isOpen = true;
     const once = (run: () => void) => () => {
-      if (!open) return;
-      open = false;
+      if (!isOpen) return;
+      isOpen = false;
       run();
     };
     return {
@@ -350,31 +374,34 @@
         this.release(id);
       }),
       abandon: once(() => {
-        this.holdings.abandon(id);
+        this.adapters.abandon(id);
       }),
       again: () => {
         once(() => {
-          this.cell.state = plan.end(this.cell.state, id);
-          this.holdings.forget(name);
+          this.shared.state = plan.end(this.shared.state, id);
+          this.adapters.forget(name);
         })();
-        return this.readmit(offer, waited);
+        return this.readmit(pending, waiting);
       },
     };
   }
 
-  /** An attempt that the engine certainly did not run waits again, as long ago as it came. */
-  private readmit(offer: Offer, waited: plan.Waiting): Promise<Seat> {
-    this.register.undispatched(waited.id);
+  /** Queues an attempt that the engine certainly did not run again, with its original arrival time. */
+  private readmit(pending: PendingAttempt, waiting: plan.Waiting): Promise<Seat> {
+    this.register.undispatched(waiting.id);
     return new Promise((resolve, reject) => {
-      this.offers.set(waited.id, { ...offer, resolve, reject });
-      this.cell.state = { ...this.cell.state, waiting: [...this.cell.state.waiting, waited] };
-      this.tick();
+      this.pending.set(waiting.id, { ...pending, resolve, reject });
+      this.shared.state = {
+        ...this.shared.state,
+        waiting: [...this.shared.state.waiting, waiting],
+      };
+      this.runPlan();
     });
   }
 
   private release(id: string): void {
-    this.cell.state = plan.end(this.cell.state, id);
-    this.settled();
-    this.tick();
+    this.shared.state = plan.end(this.shared.state, id);
+    this.resolveIfIdle();
+    this.runPlan();
   }
 }
--- a/src/endpoint/holdings.ts
+++ b/src/endpoint/holdings.ts
@@ -1,6 +1,6 @@
 /**
- * What an engine holds, as its daemon knows it, and the orders that change it. It shares the plan's
- * state with the gate; both change it by the plan's and the slots' steps alone.
+ * Tracks the adapters on an engine and sends the load and unload orders that change them. The manager
+ * shares the plan's state with the gate; both change it only through the functions of `plan` and `slot`.
  * @module
  */
 import * as errors from "../host/why.js";
@@ -12,146 +12,161 @@
 import * as slot from "./slot.js";
 import * as smooth from "./smooth.js";
 
-/** The state that gate and holdings share. */
+/** The state that the gate and the adapter manager share. */
 export interface Cell {
   state: plan.State;
 }
 
-/** What the holdings ask of the gate. */
+/** What the adapter manager needs from the gate. */
 export interface Client {
-  /** Whether the daemon takes work now. */
+  /** Whether the daemon accepts work. */
   readonly serving: () => boolean;
-  /** The engine answered, and what it holds is known. */
+  /** Called when the engine answered and its loaded adapters are known. */
   readonly learned: () => void;
-  /** What the engine holds is not known any more. */
+  /** Called when the loaded adapters are no longer known. */
   readonly lost: () => void;
-  /** Hands back everything that waits. */
+  /** Rejects all waiting attempts because the engine is unreachable. */
   readonly engineOut: () => void;
-  /** Hands back what waits for `target`. */
+  /** Rejects the attempts that wait for `target`. */
   readonly refuseTarget: (target: string, code: outcome.Code, message: string) => void;
-  /** The place of an attempt is free. */
+  /** Frees the seat of an attempt. */
   readonly release: (id: string) => void;
-  /** Something changed that the plan may act on. */
+  /** Called after a change that may lead to new actions of the plan. */
   readonly changed: () => void;
 }
 
-/** Looks at the engine that must fail before it counts as out. */
-const MISSES = 2;
-/** Looks that must agree that nothing but this daemon's work is on the engine. */
-const QUIET_LOOKS = 2;
-const EPOCH_MARK = "~";
+/** Number of failed polls in a row after which the engine counts as unreachable. */
+const MAX_FAILED_POLLS = 2;
+/** Number of polls in a row that must show no work but this daemon's on the engine. */
+const MIN_CONFIRMING_POLLS = 2;
+/** Separates the target from the daemon's epoch in an adapter's name on the engine. */
+const EPOCH_SEPARATOR = "~";
 
+/** Keeps the state of an engine's adapters up to date and carries out loads and evictions. */
 export class Holdings {
-  /** Cancelled attempts whose place the engine may still use, and when they were cancelled. */
-  private readonly ghosts = new Map<string, number>();
-  /** Names of other holders that may be in use, and when they were found. */
-  private readonly strangers = new Map<string, number>();
-  private readonly failedLoads = new Map<string, number>();
-  /** Whether the engine was looked at before, and when it said then that it had started. */
-  private looked = false;
-  private engineStart: number | undefined;
-  private misses = 0;
-  /** Looks in a row whose counts showed no work but this daemon's. */
-  private quietLooks = 0;
-  private loading = 0;
-  private names = 0;
-  private typicalMs: number;
+  /** When each attempt was cancelled that may still run on the engine, in monotonic ms. */
+  private readonly cancelledAt = new Map<string, number>();
+  /** When each name of another daemon was found that may still be in use, in monotonic ms. */
+  private readonly foreignFoundAt = new Map<string, number>();
+  /** When the last load of each target failed, in monotonic ms. */
+  private readonly failedLoadAt = new Map<string, number>();
+  private hasPolled = false;
+  /** Start time that the engine reported in the last successful poll. */
+  private engineStartedAt: number | undefined;
+  /** Number of failed polls in a row. */
+  private failedPolls = 0;
+  /** Number of polls in a row whose counts showed no work but this daemon's. */
+  private confirmingPolls = 0;
+  private activeLoads = 0;
+  /** Number of names used so far; makes each name unique within this epoch. */
+  private nameCount = 0;
+  private averageLoadMs: number;
 
   constructor(
     private readonly opts: setup.Options,
     private readonly deps: setup.Deps,
-    private readonly cell: Cell,
-    private readonly client: Client,
+    private readonly shared: Cell,
+    private readonly gate: Client,
   ) {
-    this.typicalMs = opts.guessLoadMs;
+    this.averageLoadMs = opts.guessLoadMs;
   }
 
-  /** Smoothed milliseconds of one load. */
+  /** Moving average of the duration of a load, in ms. */
   loadMs(): number {
-    return this.typicalMs;
+    return this.averageLoadMs;
   }
 
-  /** Milliseconds until `target` may be tried again after a failed load; 0 when it may. */
+  /** Milliseconds until `target` may be loaded again after a failed load; 0 if it may be now. */
   backoffMs(target: string): number {
-    const since = this.failedLoads.get(target);
+    const since = this.failedLoadAt.get(target);
     if (since === undefined) return 0;
     return Math.max(0, since + this.opts.retryLoadMs - this.deps.clock.mono());
   }
 
-  /** Keeps the place of a cancelled attempt until the engine's counts show that it stopped. */
+  /**
+   * Marks an attempt as cancelled. Its seat stays taken until the engine's counts show that it stopped,
+   * or until `maxCancelMs` has passed; a plain service reports no counts, so there the seat is freed at
+   * once.
+   */
   abandon(id: string): void {
-    if (this.deps.engine) this.ghosts.set(id, this.deps.clock.mono());
-    else this.client.release(id);
+    if (this.deps.engine) this.cancelledAt.set(id, this.deps.clock.mono());
+    else this.gate.release(id);
   }
 
-  /** Moves a slot on; one that a cold start took away needs nothing. */
+  /**
+   * Applies an event to a slot. Does nothing for a slot that no longer exists because the engine
+   * restarted.
+   */
   private move(name: string, event: slot.SlotEvent): void {
-    if (!this.cell.state.slots.byName.has(name)) return;
+    if (!this.shared.state.slots.byName.has(name)) return;
     const now = this.deps.clock.mono();
-    this.cell.state = {
-      ...this.cell.state,
-      slots: slot.move(this.cell.state.slots, name, event, now),
+    this.shared.state = {
+      ...this.shared.state,
+      slots: slot.move(this.shared.state.slots, name, event, now),
     };
   }
 
-  /** The engine does not hold `name` any more. */
+  /** Marks `name` as no longer on the engine. */
   forget(name: string): void {
     this.move(name, { type: "unloaded" });
   }
 
-  /** Asks for a turn until it is granted, then loads what is most wanted by then. */
+  /**
+   * Asks for a turn until it is granted, then loads the adapter with the highest score at that time.
+   */
   async load(): Promise<void> {
-    if (this.loading >= this.opts.plan.loads) return;
-    this.loading++;
+    if (this.activeLoads >= this.opts.plan.loads) return;
+    this.activeLoads++;
     try {
       for (;;) {
-        const wanted = this.wanted();
-        if (!wanted) return;
-        const answer = await this.deps.turn.ask(wanted.target, wanted.score);
+        const next = this.nextLoad();
+        if (!next) return;
+        const answer = await this.deps.turn.ask(next.target, next.score);
         if (answer.kind === "go") break;
         await new Promise<void>((resolve) => {
           this.deps.clock.after(answer.askAgainMs, resolve);
         });
       }
       try {
-        const wanted = this.wanted();
-        if (wanted) await this.loadNow(wanted.target, wanted.evict);
+        const next = this.nextLoad();
+        if (next) await this.loadNow(next.target, next.evict);
       } finally {
         this.deps.turn.end();
       }
     } catch (err) {
-      this.deps.log.error(`A load broke off: ${errors.why(err)}.`);
+      this.deps.log.error(`Loading an adapter failed unexpectedly: ${errors.why(err)}.`);
     } finally {
-      this.loading--;
-      this.client.changed();
+      this.activeLoads--;
+      this.gate.changed();
     }
   }
 
-  private wanted(): Extract<plan.Action, { kind: "load" }> | undefined {
-    if (!this.client.serving() || this.deps.hold.lost()) return undefined;
-    const actions = plan.next(this.cell.state, this.deps.clock.mono());
+  /** The plan's next load, if the daemon may send the engine orders. */
+  private nextLoad(): Extract<plan.Action, { kind: "load" }> | undefined {
+    if (!this.gate.serving() || this.deps.hold.lost()) return undefined;
+    const actions = plan.next(this.shared.state, this.deps.clock.mono());
     return actions.find((a) => a.kind === "load");
   }
 
   private async loadNow(target: string, evict: string | undefined): Promise<void> {
     const source = this.deps.source(target);
     if (source === undefined) {
-      this.client.refuseTarget(target, "not_found", `The intent names no ${target}.`);
+      this.gate.refuseTarget(target, "not_found", `The intent has no ${target}.`);
       return;
     }
     if (evict !== undefined && !(await this.unload(evict))) return;
-    this.names++;
-    const name = `${target}${EPOCH_MARK}${this.opts.epoch}.${this.names}`;
+    this.nameCount++;
+    const name = `${target}${EPOCH_SEPARATOR}${this.opts.epoch}.${this.nameCount}`;
     const began = this.deps.clock.mono();
-    this.cell.state = {
-      ...this.cell.state,
-      slots: slot.begin(this.cell.state.slots, name, target, began),
+    this.shared.state = {
+      ...this.shared.state,
+      slots: slot.begin(this.shared.state.slots, name, target, began),
     };
     try {
       await this.deps.engine?.load(name, source, this.deps.hold.fence());
       this.move(name, { type: "loaded" });
-      this.failedLoads.delete(target);
-      this.typicalMs = smooth.towards(this.typicalMs, this.deps.clock.mono() - began);
+      this.failedLoadAt.delete(target);
+      this.averageLoadMs = smooth.towards(this.averageLoadMs, this.deps.clock.mono() - began);
       this.deps.metrics.count("loads", metrics.SYSTEM);
       this.deps.log.debug(`Loaded ${target}.`);
     } catch (err) {
@@ -162,12 +177,12 @@
   private loadFailed(name: string, target: string, err: unknown): void {
     const f = outcome.toFailure(err, "load", this.opts.name, "unknown");
     this.move(name, { type: f.outcome === "unknown" ? "lost" : "failed" });
-    this.failedLoads.set(target, this.deps.clock.mono());
-    this.deps.log.warn(`The load of ${target} failed: ${f.message}`);
-    this.client.refuseTarget(target, "load_failed", f.message);
+    this.failedLoadAt.set(target, this.deps.clock.mono());
+    this.deps.log.warn(`Loading ${target} failed: ${f.message}`);
+    this.gate.refuseTarget(target, "load_failed", f.message);
   }
 
-  /** Whether the slot is free again. */
+  /** Unloads `name`; returns whether its slot is free. */
   private async unload(name: string): Promise<boolean> {
     this.move(name, { type: "unload" });
     try {
@@ -183,56 +198,64 @@
     }
   }
 
-  /** One look at the engine: learns its state anew after a start, and settles what is in doubt. */
+  /**
+   * Polls the engine once: takes over its adapters on the first poll, compares them with the known
+   * slots on later ones, and resolves doubtful slots.
+   */
   async look(): Promise<void> {
     const { engine: eng, clock: clk } = this.deps;
     if (!eng) return;
     const began = clk.mono();
-    const known = new Set(this.cell.state.slots.byName.keys());
+    const knownBefore = new Set(this.shared.state.slots.byName.keys());
     let health: engine.Health;
     let names: readonly string[];
     try {
       health = await eng.health();
       names = await eng.models();
     } catch (err) {
-      this.missed(err);
+      this.recordFailedPoll(err);
       return;
     }
-    this.misses = 0;
-    const first = !this.looked;
-    this.looked = true;
-    if (!first && health.startedAt !== this.engineStart) {
+    this.failedPolls = 0;
+    const first = !this.hasPolled;
+    this.hasPolled = true;
+    if (!first && health.startedAt !== this.engineStartedAt) {
       this.deps.log.warn("The engine came back cold.");
     }
-    this.engineStart = health.startedAt;
-    // After a cold start too: what was loaded since, and is in use, is in the list by its own name.
-    if (first) await this.learn(names, began);
-    else await this.reconcile(names, known, began);
-    this.releaseGhosts(health, began);
-    this.client.learned();
-    this.client.changed();
+    this.engineStartedAt = health.startedAt;
+    // An engine that restarted is reconciled as well: adapters that were loaded since then, and may be
+    // in use, are in its list under their own names.
+    if (first) await this.adoptAll(names, began);
+    else await this.reconcile(names, knownBefore, began);
+    this.releaseStopped(health, began);
+    this.gate.learned();
+    this.gate.changed();
   }
 
-  private missed(err: unknown): void {
-    this.misses++;
-    if (this.misses !== MISSES) return;
+  /** Counts a failed poll; the engine counts as unreachable after `MAX_FAILED_POLLS` in a row. */
+  private recordFailedPoll(err: unknown): void {
+    this.failedPolls++;
+    if (this.failedPolls !== MAX_FAILED_POLLS) return;
     this.deps.log.warn(`The engine is out: ${errors.why(err)}`);
-    this.client.lost();
-    this.client.engineOut();
+    this.gate.lost();
+    this.gate.engineOut();
   }
 
-  /** The first look at an engine: what others left there is taken over. */
-  private async learn(names: readonly string[], now: number): Promise<void> {
-    const barred = await this.barOthers();
-    for (const name of names) this.adopt(name, barred, now);
+  /** Takes over the adapters that other daemons left on the engine, on the first poll. */
+  private async adoptAll(names: readonly string[], now: number): Promise<void> {
+    const othersFenced = await this.fenceOffOthers();
+    for (const name of names) this.adopt(name, othersFenced, now);
   }
 
-  /** Whether the engine refuses, from now on, the orders of every earlier holder. */
-  private async barOthers(): Promise<boolean> {
+  /**
+   * Sends an order with this daemon's fencing number. Returns whether from now on the engine refuses the
+   * orders of all earlier holders of the lease.
+   */
+  private async fenceOffOthers(): Promise<boolean> {
     if (this.opts.fencing === "ignored" || this.deps.hold.fence() === 0) return false;
-    const nothing = `none${EPOCH_MARK}${this.opts.epoch}`;
+    const unusedName = `none${EPOCH_SEPARATOR}${this.opts.epoch}`;
     try {
-      await this.deps.engine?.unload(nothing, this.deps.hold.fence());
+      await this.deps.engine?.unload(unusedName, this.deps.hold.fence());
       return true;
     } catch {
       return false;
@@ -240,82 +263,89 @@
   }
 
   /**
-   * Takes over a name found on the engine. It may be used when nobody can still unload it; otherwise
-   * it only takes up room, and is kept until the engine is seen to do no work of others.
+   * Takes over a name found on the engine. The adapter is used if no other daemon can still unload it.
+   * Otherwise it only occupies a slot, and is not evicted until the engine runs no work of others.
    */
-  private adopt(name: string, barred: boolean, now: number): void {
-    const mark = name.lastIndexOf(EPOCH_MARK);
-    const epoch = name.slice(mark + 1, name.lastIndexOf("."));
+  private adopt(name: string, othersFenced: boolean, now: number): void {
+    const separator = name.lastIndexOf(EPOCH_SEPARATOR);
+    const epoch = name.slice(separator + 1, name.lastIndexOf("."));
     const usable =
-      mark > 0 && epoch !== this.opts.epoch && (barred || this.deps.hold.trusts(epoch));
-    const target = usable ? name.slice(0, mark) : undefined;
-    let slots = slot.adopt(this.cell.state.slots, name, target, now);
+      separator > 0 && epoch !== this.opts.epoch && (othersFenced || this.deps.hold.trusts(epoch));
+    const target = usable ? name.slice(0, separator) : undefined;
+    let slots = slot.adopt(this.shared.state.slots, name, target, now);
     if (target === undefined) {
       slots = slot.pin(slots, name);
-      this.strangers.set(name, now);
+      this.foreignFoundAt.set(name, now);
     }
-    this.cell.state = { ...this.cell.state, slots };
+    this.shared.state = { ...this.shared.state, slots };
   }
 
-  /** Holds what this daemon knew before it asked (`known`) against what the engine listed. */
+  /**
+   * Updates the slots from the names that the engine listed. `knownBefore` holds the names of the slots
+   * before the poll, which began at `began`; slots that changed since then are skipped.
+   */
   private async reconcile(
     names: readonly string[],
-    known: ReadonlySet<string>,
+    knownBefore: ReadonlySet<string>,
     began: number,
   ): Promise<void> {
     const listed = new Set(names);
-    for (const s of this.cell.state.slots.byName.values()) {
+    for (const s of this.shared.state.slots.byName.values()) {
       if (s.since >= began) continue;
       if (s.phase === "loaded" && !listed.has(s.name)) {
-        this.deps.log.warn(`The engine no longer holds ${s.name}.`);
-        this.strangers.delete(s.name);
+        this.deps.log.warn(`${s.name} is no longer loaded on the engine.`);
+        this.foreignFoundAt.delete(s.name);
         this.move(s.name, { type: "unloaded" });
       }
-      if (s.phase === "doubtful") await this.settleDoubt(s, listed.has(s.name), began);
+      if (s.phase === "doubtful") await this.resolveDoubt(s, listed.has(s.name), began);
     }
     for (const name of names) {
-      if (!known.has(name) && !this.cell.state.slots.byName.has(name))
+      if (!knownBefore.has(name) && !this.shared.state.slots.byName.has(name))
         this.adopt(name, false, began);
     }
   }
 
-  private async settleDoubt(s: slot.Slot, listed: boolean, now: number): Promise<void> {
+  private async resolveDoubt(s: slot.Slot, listed: boolean, now: number): Promise<void> {
     if (listed) await this.unload(s.name);
     else if (now - s.since > this.opts.orderMs) this.move(s.name, { type: "unloaded" });
   }
 
   /**
-   * Gives back the places of cancelled attempts, and strangers' slots, once the engine's counts show
-   * no more work than this daemon surely has there. Counts lag, and do not tell requests apart: what
-   * was sent lately may not be in them and must not stand in for a cancelled one, and two looks in a
-   * row must agree.
+   * Frees the seats of cancelled attempts, and unpins the names of other daemons, once the engine's
+   * counts show no more work than this daemon certainly has there. The counts lag and do not identify
+   * requests. A recent attempt may not be counted yet, so it is left out; otherwise a cancelled attempt
+   * that still runs could be taken for it. Two polls in a row must agree.
    */
-  private releaseGhosts(health: engine.Health, now: number): void {
+  private releaseStopped(health: engine.Health, now: number): void {
     const { running, waiting } = health;
-    // Counts that are not given never show that a cancelled attempt stopped.
+    // Without both counts, nothing shows that a cancelled attempt stopped.
     const counted = running !== undefined && waiting !== undefined;
-    const quiet = counted && running + waiting <= this.surelyThere(now);
-    this.quietLooks = quiet ? this.quietLooks + 1 : 0;
-    const agreed = this.quietLooks >= QUIET_LOOKS;
-    for (const [id, at] of this.ghosts) {
-      // Under steady work the counts never agree; then only time tells that a cancel took effect.
-      if (now - at < (agreed ? this.opts.lagMs : this.opts.cancelMs)) continue;
-      this.ghosts.delete(id);
-      this.client.release(id);
+    const onlyOwnWork = counted && running + waiting <= this.certainlyCounted(now);
+    this.confirmingPolls = onlyOwnWork ? this.confirmingPolls + 1 : 0;
+    const confirmed = this.confirmingPolls >= MIN_CONFIRMING_POLLS;
+    for (const [id, markedAt] of this.cancelledAt) {
+      // Under steady load the counts may never confirm it; then the attempt is assumed to have stopped
+      // after `maxCancelMs`.
+      if (now - markedAt < (confirmed ? this.opts.lagMs : this.opts.cancelMs)) continue;
+      this.cancelledAt.delete(id);
+      this.gate.release(id);
     }
-    if (!agreed) return;
-    for (const [name, at] of this.strangers) {
-      if (now - at < this.opts.lagMs) continue;
-      this.strangers.delete(name);
-      this.cell.state = { ...this.cell.state, slots: slot.unpin(this.cell.state.slots, name) };
+    if (!confirmed) return;
+    for (const [name, foundAt] of this.foreignFoundAt) {
+      if (now - foundAt < this.opts.lagMs) continue;
+      this.foreignFoundAt.delete(name);
+      this.shared.state = {
+        ...this.shared.state,
+        slots: slot.unpin(this.shared.state.slots, name),
+      };
     }
   }
 
-  /** Attempts of this daemon that the engine's counts of a look at `now` surely hold. */
-  private surelyThere(now: number): number {
+  /** Number of this daemon's attempts that the counts of a poll at `now` certainly include. */
+  private certainlyCounted(now: number): number {
     let count = 0;
-    for (const r of this.cell.state.running.values()) {
-      if (!this.ghosts.has(r.id) && now - r.dispatchedAt >= this.opts.lagMs) count++;
+    for (const r of this.shared.state.running.values()) {
+      if (!this.cancelledAt.has(r.id) && now - r.dispatchedAt >= this.opts.lagMs) count++;
     }
     return count;
   }
--- a/src/endpoint/life.ts
+++ b/src/endpoint/life.ts
@@ -1,15 +1,15 @@
 /**
- * The life of an endpoint daemon: it learns its engine's state before it takes work, and drains
- * before it goes.
+ * The lifecycle of an endpoint daemon: it finds out the state of its engine before it accepts work,
+ * and drains before it stops.
  * @module
  */
 import * as xstate from "xstate";
 
 export type LifeEvent =
-  /** The engine answered, and what it holds is known. */
-  | { readonly type: "learned" }
-  /** The engine is out or came back cold; what it holds is not known. */
-  | { readonly type: "lost" }
+  /** The engine answered, and its loaded adapters are known. */
+  | { readonly type: "engine_known" }
+  /** The engine is unreachable, so its loaded adapters are not known. */
+  | { readonly type: "engine_unknown" }
   | { readonly type: "drain" }
   | { readonly type: "resume" };
 
@@ -17,27 +17,27 @@
   id: "life",
   initial: "learning",
   states: {
-    learning: { on: { learned: "serving", drain: "draining" } },
-    serving: { on: { lost: "learning", drain: "draining" } },
+    learning: { on: { engine_known: "serving", drain: "draining" } },
+    serving: { on: { engine_unknown: "learning", drain: "draining" } },
     draining: { on: { resume: "learning" } },
   },
 });
 
 export type Life = "learning" | "serving" | "draining";
 
-/** Starts a life; `seen` is told of each state it comes to. */
-export function start(seen: (life: Life) => void) {
+/** Starts the lifecycle; `onChange` is called with each new state. */
+export function start(onChange: (life: Life) => void) {
   const actor = xstate.createActor(machine);
   let last: Life = "learning";
   actor.subscribe((snapshot) => {
     if (snapshot.value === last) return;
     last = snapshot.value;
-    seen(last);
+    onChange(last);
   });
   actor.start();
   return {
     state: (): Life => actor.getSnapshot().value,
-    /** Events that mean nothing in the present state change nothing. */
+    /** Sends an event; one that the current state does not handle has no effect. */
     send: (event: LifeEvent): void => {
       actor.send(event);
     },
--- a/src/endpoint/plan.ts
+++ b/src/endpoint/plan.ts
@@ -1,56 +1,59 @@
 /**
- * What an endpoint daemon does next: which waiting attempt goes to the engine, which adapter is
- * loaded, which is evicted for it, and who is told "not run". Pure: the same code runs in the
- * daemon, the tests and the measuring tool.
+ * Decides what an endpoint daemon does next: which waiting attempt is sent to the engine, which
+ * adapter is loaded, which one is evicted for it, and which attempts expire as "not run". Pure, so
+ * that the daemon, the tests and the simulation run the same code.
  * @module
  */
 import * as popularity from "./popularity.js";
 import * as slot from "./slot.js";
 
-/** An attempt that waits here. */
+/** An attempt that waits at this endpoint. */
 export interface Waiting {
   readonly id: string;
   /** `adapter@version`, or the service's name. */
   readonly target: string;
   readonly caller: string;
   readonly worth: number;
-  /** Monotonic ms of arrival, and of the moment by which the first byte must be out. */
+  /** Time of arrival, in monotonic ms. */
   readonly arrivedAt: number;
+  /** Time by which the first byte of the answer must be sent, in monotonic ms. */
   readonly dueAt: number;
-  /** Services need no adapter. */
+  /** False for requests to plain services. */
   readonly needsAdapter: boolean;
 }
 
-/** An attempt given to the engine. */
+/** An attempt that was sent to the engine. */
 export interface Running extends Waiting {
+  /** Name of its adapter on the engine. */
   readonly name: string;
   readonly dispatchedAt: number;
 }
 
-/** What an adapter that nobody uses is worth keeping for; the least goes first. */
+/** The value by which unused adapters are ranked for eviction; the lowest is evicted first. */
 export type Eviction =
-  /** Its popularity. */
+  /** Popularity. */
   | { readonly kind: "coldest" }
-  /** How lately it was wanted; the usual baseline. */
+  /** Time of the last request (LRU), the usual baseline. */
   | { readonly kind: "least-recent" }
-  /** Whatever a measurement says, such as perfect knowledge of the future. */
+  /** A given function, for example one that knows all future requests. */
   | { readonly kind: "ranked"; readonly value: (target: string, now: number) => number };
 
-/** Figures that steer the plan. */
+/** Limits and policies of the plan. */
 export interface Options {
-  /** Attempts on the engine at once; its batch. */
+  /** Largest number of attempts on the engine at once, which is its batch size. */
   readonly seats: number;
-  /** Attempts that may wait. */
+  /** Largest number of waiting attempts. */
   readonly queue: number;
-  /** Loads under way at once on this engine. */
+  /** Largest number of concurrent loads on this engine. */
   readonly loads: number;
   readonly evict: Eviction;
+  /** Order of dispatches and loads: by worth and fairness, or by arrival. */
   readonly order: "worth" | "first-come";
-  /** Milliseconds of waiting that count as much as one unit of worth; ages a load's score. */
+  /** Milliseconds of waiting that add a load's total worth to its score once more, so that scores age. */
   readonly ageMs: number;
 }
 
-/** Everything the plan knows. */
+/** The state on which the plan decides. */
 export interface State {
   readonly opts: Options;
   readonly slots: slot.Slots;
@@ -59,10 +62,10 @@
   readonly popularity: popularity.Popularity;
 }
 
-/** One thing to do. */
+/** One action of the plan. */
 export type Action =
   | { readonly kind: "dispatch"; readonly id: string; readonly name: string }
-  /** Ask for a turn at the weight store for `target`; on "go", evict `evict` and load. */
+  /** Ask for a turn at the weight store for `target`; on "go", unload the name `evict` and load. */
   | {
       readonly kind: "load";
       readonly target: string;
@@ -71,15 +74,15 @@
     }
   | { readonly kind: "expire"; readonly id: string };
 
-/** A daemon with nothing to do. */
+/** The initial state: nothing is loaded, waiting or running. */
 export function idle(opts: Options, capacity: number, halfLifeMs: number): State {
-  const remembered = 8 * capacity;
+  const rememberedAdapters = 8 * capacity;
   return {
     opts,
     slots: slot.empty(capacity),
     waiting: [],
     running: new Map(),
-    popularity: popularity.cold(halfLifeMs, remembered),
+    popularity: popularity.cold(halfLifeMs, rememberedAdapters),
   };
 }
 
@@ -94,10 +97,10 @@
   if (s.running.has(w.id) || s.waiting.some((o) => o.id === w.id)) {
     throw new RangeError(`attempt ${w.id} is already here`);
   }
-  const heat = w.needsAdapter
+  const updated = w.needsAdapter
     ? popularity.hit(s.popularity, w.target, w.worth, w.arrivedAt)
     : s.popularity;
-  return { ...s, waiting: [...s.waiting, w], popularity: heat };
+  return { ...s, waiting: [...s.waiting, w], popularity: updated };
 }
 
 /** The state without a waiting attempt. */
@@ -105,7 +108,7 @@
   return { ...s, waiting: s.waiting.filter((w) => w.id !== id) };
 }
 
-/** The state with a waiting attempt given to the engine, its adapter pinned. */
+/** The state with a waiting attempt moved to the engine and its adapter pinned. */
 export function dispatch(s: State, id: string, name: string, now: number): State {
   const w = s.waiting.find((o) => o.id === id);
   if (!w) throw new RangeError(`attempt ${id} does not wait`);
@@ -115,7 +118,7 @@
   return { ...leave(s, id), running, slots };
 }
 
-/** The state after an attempt's last byte or confirmed cancel. */
+/** The state after an attempt's last byte or confirmed cancellation. */
 export function end(s: State, id: string): State {
   const r = s.running.get(id);
   if (!r) throw new RangeError(`attempt ${id} does not run`);
@@ -124,58 +127,62 @@
   return { ...s, running, slots: r.needsAdapter ? slot.unpin(s.slots, r.name) : s.slots };
 }
 
-/** What to do at `now`, in order; empty when there is nothing. */
+/** The actions to take at `now`, in order. */
 export function next(s: State, now: number): readonly Action[] {
   const expired = s.waiting.filter((w) => w.dueAt <= now);
   const live = expired.length === 0 ? s.waiting : s.waiting.filter((w) => w.dueAt > now);
-  const served = new Map(
+  const loadedNames = new Map(
     slot.targets(s.slots, "loaded").map((t) => [t, slot.serving(s.slots, t)?.name ?? ""]),
   );
   return [
     ...expired.map(({ id }) => ({ kind: "expire", id }) as const),
-    ...dispatches(s, live, served),
-    ...loads(s, live, now),
+    ...planDispatches(s, live, loadedNames),
+    ...planLoads(s, live, now),
   ];
 }
 
 /**
- * Fills free seats. The caller with the least running for its worth goes first, and of its attempts
- * the one due first, so that nobody starves and deadlines are kept where they can be.
+ * Fills free seats. The caller with the fewest running attempts, each weighted by 1 / worth, goes
+ * first, so that no caller starves. Among its attempts the one with the earliest deadline goes first,
+ * so that deadlines are met where possible.
  */
-function dispatches(
+function planDispatches(
   s: State,
   live: readonly Waiting[],
-  served: ReadonlyMap<string, string>,
+  loadedNames: ReadonlyMap<string, string>,
 ): readonly Action[] {
-  let free = s.opts.seats - s.running.size;
-  let ready = live.filter((w) => !w.needsAdapter || served.has(w.target));
-  if (free <= 0 || ready.length === 0) return [];
+  let freeSeats = s.opts.seats - s.running.size;
+  let ready = live.filter((w) => !w.needsAdapter || loadedNames.has(w.target));
+  if (freeSeats <= 0 || ready.length === 0) return [];
   const share = new Map<string, number>();
   for (const r of s.running.values()) share.set(r.caller, (share.get(r.caller) ?? 0) + 1 / r.worth);
   const out: Action[] = [];
-  while (free > 0 && ready.length > 0) {
-    const w = ready.reduce((a, b) => (before(b, a, share, s.opts.order) ? b : a));
-    out.push({ kind: "dispatch", id: w.id, name: served.get(w.target) ?? "" });
+  while (freeSeats > 0 && ready.length > 0) {
+    const w = ready.reduce((a, b) => (goesBefore(b, a, share, s.opts.order) ? b : a));
+    out.push({ kind: "dispatch", id: w.id, name: loadedNames.get(w.target) ?? "" });
     share.set(w.caller, (share.get(w.caller) ?? 0) + 1 / w.worth);
     ready = ready.filter((o) => o !== w);
-    free--;
+    freeSeats--;
   }
   return out;
 }
 
-function before(
+function goesBefore(
   a: Waiting,
   b: Waiting,
   share: ReadonlyMap<string, number>,
   order: Options["order"],
 ): boolean {
   if (order === "first-come") return a.arrivedAt < b.arrivedAt;
-  const left = share.get(a.caller) ?? 0;
-  const right = share.get(b.caller) ?? 0;
-  return left === right ? a.dueAt < b.dueAt : left < right;
+  const aShare = share.get(a.caller) ?? 0;
+  const bShare = share.get(b.caller) ?? 0;
+  return aShare === bShare ? a.dueAt < b.dueAt : aShare < bShare;
 }
 
-/** How much one load is wanted: the worth that waits for it, grown by how long it has waited. */
+/**
+ * Priority of a load: the total worth of the attempts that wait for it, scaled up with the waiting
+ * time of the oldest.
+ */
 export function loadScore(
   waiting: readonly Waiting[],
   now: number,
@@ -187,10 +194,10 @@
   return worth * (1 + (now - oldest) / opts.ageMs);
 }
 
-/** The loads most wanted, up to the limit, each with the slot to empty for it. */
-function loads(s: State, live: readonly Waiting[], now: number): readonly Action[] {
-  let free = s.opts.loads - slot.targets(s.slots, "loading").length;
-  if (free <= 0) return [];
+/** The loads with the highest scores, up to the limit, each with the slot to evict for it. */
+function planLoads(s: State, live: readonly Waiting[], now: number): readonly Action[] {
+  let freeLoads = s.opts.loads - slot.targets(s.slots, "loading").length;
+  if (freeLoads <= 0) return [];
   const wanted = new Map<string, Waiting[]>();
   for (const w of live) {
     if (!w.needsAdapter || slot.has(s.slots, w.target)) continue;
@@ -202,37 +209,37 @@
     .map(([target, group]) => ({ target, score: loadScore(group, now, s.opts) }))
     .sort((a, b) => b.score - a.score);
   const out: Action[] = [];
-  const victims = new Set<string>();
-  let room = s.slots.capacity - s.slots.byName.size;
+  const evicted = new Set<string>();
+  let freeSlots = s.slots.capacity - s.slots.byName.size;
   for (const { target, score } of ranked) {
-    if (free <= 0) break;
-    const evict = room > 0 ? undefined : victim(s, live, victims, now);
-    if (room <= 0 && evict === undefined) break;
-    if (evict === undefined) room--;
-    else victims.add(evict);
+    if (freeLoads <= 0) break;
+    const evict = freeSlots > 0 ? undefined : pickVictim(s, live, evicted, now);
+    if (freeSlots <= 0 && evict === undefined) break;
+    if (evict === undefined) freeSlots--;
+    else evicted.add(evict);
     out.push({ kind: "load", target, score, evict });
-    free--;
+    freeLoads--;
   }
   return out;
 }
 
 /**
- * The name to unload: never one in use, and none that somebody waits for. Names of other holders go
- * first, then the coldest adapter.
+ * The name to unload: never one that is in use or that a waiting attempt needs. Names loaded by other
+ * daemons go first, then the adapter with the lowest value under `opts.evict`.
  */
-function victim(
+function pickVictim(
   s: State,
   live: readonly Waiting[],
-  taken: ReadonlySet<string>,
+  alreadyChosen: ReadonlySet<string>,
   now: number,
 ): string | undefined {
   const awaited = new Set(live.map((w) => w.target));
   let best: slot.Slot | undefined;
   let least = Infinity;
   for (const c of s.slots.byName.values()) {
-    if (c.phase !== "loaded" || c.pins > 0 || taken.has(c.name)) continue;
+    if (c.phase !== "loaded" || c.pins > 0 || alreadyChosen.has(c.name)) continue;
     if (c.target !== undefined && awaited.has(c.target)) continue;
-    const value = valueOf(s, c, now);
+    const value = retentionValue(s, c, now);
     if (value >= least) continue;
     least = value;
     best = c;
@@ -240,7 +247,7 @@
   return best?.name;
 }
 
-function valueOf(s: State, c: slot.Slot, now: number): number {
+function retentionValue(s: State, c: slot.Slot, now: number): number {
   if (c.target === undefined) return -1;
   switch (s.opts.evict.kind) {
     case "coldest":
--- a/src/endpoint/popularity.ts
+++ b/src/endpoint/popularity.ts
@@ -1,5 +1,5 @@
 /**
- * How much each adapter was wanted lately: hits weighted by worth, halved every half-life.
+ * The popularity (heat) of each adapter: its requests weighted by worth, with exponential decay.
  * @module
  */
 
@@ -8,28 +8,29 @@
   readonly at: number;
 }
 
-/** Heat of the adapters worth remembering; others count as cold. */
+/** Heat of the adapters that are remembered; all others have heat 0. */
 export interface Popularity {
-  /** Milliseconds in which a past hit loses half its weight. */
+  /** Milliseconds after which a past request has half its weight. */
   readonly halfLifeMs: number;
-  /** Adapters remembered; the coldest is forgotten first. */
+  /** Largest number of adapters to remember; the coldest is dropped first. */
   readonly limit: number;
   readonly byTarget: ReadonlyMap<string, Heat>;
 }
 
-/** Nothing wanted yet. */
+/** A popularity without any requests. */
 export function cold(halfLifeMs: number, limit: number): Popularity {
-  if (!(halfLifeMs > 0) || !(limit > 0)) throw new RangeError("half-life and limit must be over 0");
+  if (!(halfLifeMs > 0) || !(limit > 0))
+    throw new RangeError("half-life and limit must be greater than 0");
   return { halfLifeMs, limit, byTarget: new Map() };
 }
 
-/** Heat of `target` at `now`; 0 when it is not remembered. */
+/** Heat of `target` at `now`; 0 if it is not remembered. */
 export function heat(p: Popularity, target: string, now: number): number {
   const h = p.byTarget.get(target);
   return h ? h.value * 2 ** (-(now - h.at) / p.halfLifeMs) : 0;
 }
 
-/** The popularity after one hit of weight `worth`. */
+/** The popularity after one more request for `target`, of weight `worth`. */
 export function hit(p: Popularity, target: string, worth: number, now: number): Popularity {
   const byTarget = new Map(p.byTarget);
   byTarget.set(target, { value: heat(p, target, now) + worth, at: now });
@@ -39,7 +40,7 @@
   return { ...p, byTarget };
 }
 
-/** The coldest of some targets; undefined for none. */
+/** The target in `of` with the least heat; undefined if `of` is empty. */
 export function coldest(p: Popularity, of: Iterable<string>, now: number): string | undefined {
   let best: string | undefined;
   let least = Infinity;
--- a/src/endpoint/register.ts
+++ b/src/endpoint/register.ts
@@ -1,6 +1,6 @@
 /**
- * The attempts an endpoint daemon has met, so that each is dispatched at most once, and never after
- * it was given up.
+ * Remembers the attempts that an endpoint daemon has seen, so that each is dispatched at most once,
+ * and never after it was given up.
  * @module
  */
 import * as lru from "lru-cache";
@@ -9,43 +9,52 @@
 
 type Stage = "open" | "dispatched" | "given_up";
 
-/** Attempts remembered at most; at 100 new ones a second this outlasts the signatures' window. */
-const LIMIT = 100_000;
-/** A signed attempt is refused as too old before it is forgotten here. */
-const KEEP_MS = 4 * keys.WINDOW_MS;
+/**
+ * Largest number of attempts to remember; at 100 new attempts a second this covers more than the time
+ * for which signatures are valid.
+ */
+const MAX_ATTEMPTS = 100_000;
+/**
+ * Milliseconds for which an attempt is remembered; the signature of a repeated attempt expires
+ * earlier, so a forgotten attempt cannot be accepted again.
+ */
+const TTL_MS = 4 * keys.WINDOW_MS;
 
-/** One register for each life of a daemon. */
+/** The attempts of one run of the daemon process. */
 export class Register {
   private readonly stages: lru.LRUCache<string, Stage>;
 
-  constructor(clk: clock.Clock, limit = LIMIT) {
+  constructor(clk: clock.Clock, limit = MAX_ATTEMPTS) {
     this.stages = new lru.LRUCache({
       max: limit,
-      ttl: KEEP_MS,
+      ttl: TTL_MS,
       ttlResolution: 0,
       perf: { now: () => clk.mono() },
     });
   }
 
-  /** Whether the attempt is new here; from now on it is not. */
+  /** Adds an attempt; returns false if it was already known. */
   open(id: string): boolean {
     if (this.stages.has(id)) return false;
     this.stages.set(id, "open");
     return true;
   }
 
-  /** Marks the attempt as given to the engine. Throws RangeError unless it was open. */
+  /** Marks an attempt as sent to the engine. Throws RangeError unless it is open. */
   dispatched(id: string): void {
     if (this.stages.get(id) !== "open") throw new RangeError(`attempt ${id} is not open`);
     this.stages.set(id, "dispatched");
   }
 
-  /** Opens a dispatched attempt again, when the engine said that it ran nothing. */
+  /** Reopens a dispatched attempt that the engine reported as not run. */
   undispatched(id: string): void {
     this.stages.set(id, "open");
   }
 
-  /** Gives up an attempt, also one that has not arrived; tells when it is too late for that. */
+  /**
+   * Gives up an attempt, even if it has not arrived yet. Returns "dispatched" if the attempt was
+   * already sent to the engine.
+   */
   giveUp(id: string): "given_up" | "dispatched" {
     if (this.stages.get(id) === "dispatched") return "dispatched";
     this.stages.set(id, "given_up");
--- a/src/endpoint/server.ts
+++ b/src/endpoint/server.ts
@@ -1,5 +1,5 @@
 /**
- * The endpoint daemon's link server: takes attempts from entry daemons, and control calls.
+ * The HTTP server of the endpoint daemon: handles attempts from entry daemons and control calls.
  * @module
  */
 import * as http from "node:http";
@@ -16,18 +16,21 @@
 import * as gate from "./gate.js";
 import type * as service from "./service.js";
 
+/** Name and limits of the server. */
 export interface Options {
+  /** Name of this endpoint. */
   readonly name: string;
   /** Largest request for a model, in bytes. */
   readonly requestLimit: number;
-  /** Largest answer that is not a stream, and largest event of one that is, in bytes. */
+  /** Largest answer that is not streamed, and largest event of one that is, in bytes. */
   readonly answerLimit: number;
 }
 
+/** Dependencies of the server. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: log.Log;
-  /** Undefined until the intent tells what this endpoint is. */
+  /** The admission gate; undefined until the intent with this endpoint is known. */
   readonly gate: () => gate.Gate | undefined;
   readonly verify: ReturnType<typeof keys.verifier>;
   readonly control: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>;
@@ -37,11 +40,12 @@
 
 const STATUS_NOT_FOUND = 404;
 const STATUS_SERVER_ERROR = 500;
-const SHOWN = 300;
-/** Calls to the engine for one attempt, when it keeps losing the adapter. */
-const DISPATCHES = 3;
+/** Largest number of characters of an engine's refusal to include in an error message. */
+const MAX_REFUSAL_CHARS = 300;
+/** Largest number of calls to the engine for one attempt, if it keeps losing the adapter. */
+const MAX_ENGINE_CALLS = 3;
 
-/** Makes the server; the caller listens and closes. */
+/** Creates the server; the caller must call `listen` and `close`. */
 export function create(opts: Options, deps: Deps): http.Server {
   const server = http.createServer((req, res) => {
     const path = req.url ?? "";
@@ -49,8 +53,8 @@
       void deps.control(req, res);
       return;
     }
-    run(opts, deps, req, res).catch((err: unknown) => {
-      deps.log.error(`An attempt broke off: ${errors.why(err)}`);
+    handleAttempt(opts, deps, req, res).catch((err: unknown) => {
+      deps.log.error(`Handling an attempt failed unexpectedly: ${errors.why(err)}`);
       res.destroy();
     });
   });
@@ -58,70 +62,86 @@
   return server;
 }
 
-/** Where the attempt is on the engine now. */
-interface Place {
+/** The seat that an attempt has now; undefined while it has none. */
+interface SeatRef {
   seat: gate.Seat | undefined;
 }
 
-async function run(
+/** Handles one attempt: verifies it, waits for a seat, runs it and sends the answer. */
+async function handleAttempt(
   opts: Options,
   deps: Deps,
   req: http.IncomingMessage,
   res: http.ServerResponse,
 ): Promise<void> {
   const peer = req.socket.remoteAddress ?? "gone";
-  const gone = new AbortController();
+  const callerGone = new AbortController();
   res.on("close", () => {
-    if (!res.writableFinished) gone.abort();
+    if (!res.writableFinished) callerGone.abort();
   });
   let a: wire.Attempt;
   try {
-    a = accept(opts, deps, req, peer);
+    a = readAttempt(opts, deps, req, peer);
   } catch (err) {
     req.resume();
     body.refuse(res, outcome.toFailure(err, "accept", opts.name, "not_run"));
     return;
   }
   res.setHeader(wire.HEADER.attempt, a.id);
-  const place: Place = { seat: undefined };
+  const seatRef: SeatRef = { seat: undefined };
   try {
-    const at = deps.gate();
-    if (!at) throw outcome.notRun("not_ready", "run", opts.name, "The intent is not known yet.");
+    const currentGate = deps.gate();
+    if (!currentGate)
+      throw outcome.notRun("not_ready", "run", opts.name, "The intent is not known yet.");
     switch (a.work.kind) {
       case "model": {
-        const fields = parse(await body.read(req, opts.requestLimit, peer), peer);
-        place.seat = await at.admit(a, gone.signal);
-        await runModel(opts, deps, a, a.work, fields, place, gone.signal, res);
+        const fields = parseJson(await body.read(req, opts.requestLimit, peer), peer);
+        seatRef.seat = await currentGate.admit(a, callerGone.signal);
+        await runModel(opts, deps, a, a.work, fields, seatRef, callerGone.signal, res);
         break;
       }
       case "service":
-        place.seat = await at.admit(a, gone.signal);
-        await runService(deps, a, a.work, req, place.seat, gone.signal, res);
+        seatRef.seat = await currentGate.admit(a, callerGone.signal);
+        await runService(deps, a, a.work, req, seatRef.seat, callerGone.signal, res);
         break;
     }
   } catch (err) {
-    place.seat?.abandon();
+    seatRef.seat?.abandon();
     if (!req.readableEnded) req.resume();
-    tell(deps, res, outcome.toFailure(err, "run", opts.name, place.seat ? "unknown" : "not_run"));
+    sendFailure(
+      deps,
+      res,
+      outcome.toFailure(err, "run", opts.name, seatRef.seat ? "unknown" : "not_run"),
+    );
   }
 }
 
-function accept(opts: Options, deps: Deps, req: http.IncomingMessage, peer: string): wire.Attempt {
+function readAttempt(
+  opts: Options,
+  deps: Deps,
+  req: http.IncomingMessage,
+  peer: string,
+): wire.Attempt {
   const header = req.headers[wire.HEADER.attempt];
   const covers = [typeof header === "string" ? header : ""];
   const signed = { method: req.method ?? "", path: req.url ?? "", audience: opts.name, covers };
   deps.verify(req.headers.authorization, signed, peer);
   if (req.url !== wire.RUN_PATH) {
-    throw outcome.notRun("not_found", "accept", peer, `There is no ${req.url ?? ""} here.`);
+    throw outcome.notRun("not_found", "accept", peer, `Path ${req.url ?? ""} does not exist.`);
   }
   try {
     return wire.decode(wire.attempt, header);
   } catch (err) {
-    throw outcome.notRun("bad_request", "accept", peer, `No such attempt: ${errors.why(err)}.`);
+    throw outcome.notRun(
+      "bad_request",
+      "accept",
+      peer,
+      `The attempt header is not valid: ${errors.why(err)}.`,
+    );
   }
 }
 
-function parse(text: Buffer, peer: string): Readonly<Record<string, unknown>> {
+function parseJson(text: Buffer, peer: string): Readonly<Record<string, unknown>> {
   try {
     return JSON.parse(text.toString()) as Readonly<Record<string, unknown>>;
   } catch {
@@ -130,11 +150,11 @@
 }
 
 function newsHeader(deps: Deps): Record<string, string> {
-  const at = deps.gate();
-  return at ? { [wire.HEADER.news]: wire.encode(at.news()) } : {};
+  const currentGate = deps.gate();
+  return currentGate ? { [wire.HEADER.news]: wire.encode(currentGate.news()) } : {};
 }
 
-function tell(deps: Deps, res: http.ServerResponse, f: outcome.Failure): void {
+function sendFailure(deps: Deps, res: http.ServerResponse, f: outcome.Failure): void {
   if (!res.headersSent) {
     for (const [name, value] of Object.entries(newsHeader(deps))) res.setHeader(name, value);
   }
@@ -150,11 +170,11 @@
   a: wire.Attempt,
   work: ModelWork,
   fields: Readonly<Record<string, unknown>>,
-  place: Place,
+  seatRef: SeatRef,
   signal: AbortSignal,
   res: http.ServerResponse,
 ): Promise<void> {
-  const { seat, got } = await dispatch(opts, deps, a, work, fields, place, signal);
+  const { seat, response } = await callEngine(opts, deps, a, work, fields, seatRef, signal);
   const expected: answer.Expected = {
     name: seat.name,
     id: a.id,
@@ -168,55 +188,59 @@
     "sumacfield-stall-ms": String(Math.round(seat.stallMs)),
   };
   if (!work.stream) {
-    const checked = await answer.whole(got.body, expected, opts.answerLimit);
+    const checked = await answer.whole(response.body, expected, opts.answerLimit);
     seat.end();
     const size = Buffer.byteLength(checked);
     res.writeHead(200, { ...head, ...newsHeader(deps), "content-length": size });
     res.end(checked);
     return;
   }
-  // The head waits for the first event: until then a failure can still be told as one.
-  let open = false;
-  for await (const event of answer.streamed(got.body, expected, opts.answerLimit)) {
-    if (!open) res.writeHead(200, { ...head, ...newsHeader(deps) });
-    open = true;
-    if (!res.write(event)) await drained(res, signal);
+  // Sends the head with the first event, so that an earlier failure can still be sent as an error.
+  let headSent = false;
+  for await (const event of answer.streamed(response.body, expected, opts.answerLimit)) {
+    if (!headSent) res.writeHead(200, { ...head, ...newsHeader(deps) });
+    headSent = true;
+    if (!res.write(event)) await waitForDrain(res, signal);
   }
   seat.end();
   res.end();
 }
 
-/** Waits until a slow reader took what was written; throws when it went away instead. */
-function drained(res: http.ServerResponse, signal: AbortSignal): Promise<void> {
+/** Waits until a slow reader has read the written data; throws if it disconnects. */
+function waitForDrain(res: http.ServerResponse, signal: AbortSignal): Promise<void> {
   return new Promise((resolve, reject) => {
-    const gone = (): void => {
-      reject(new Error("the reader went away"));
+    const onAbort = (): void => {
+      reject(new Error("the reader disconnected"));
     };
     if (signal.aborted) {
-      gone();
+      onAbort();
       return;
     }
-    signal.addEventListener("abort", gone, { once: true });
+    signal.addEventListener("abort", onAbort, { once: true });
     res.once("drain", () => {
-      signal.removeEventListener("abort", gone);
+      signal.removeEventListener("abort", onAbort);
       resolve();
     });
   });
 }
 
-/** Calls the engine; one that has lost the adapter has run nothing, and is called again when it has it. */
-async function dispatch(
+/**
+ * Calls the engine. If it answers that the adapter is not loaded, it has run nothing, and is called
+ * again once the adapter is loaded.
+ */
+async function callEngine(
   opts: Options,
   deps: Deps,
   a: wire.Attempt,
   work: ModelWork,
   fields: Readonly<Record<string, unknown>>,
-  place: Place,
+  seatRef: SeatRef,
   signal: AbortSignal,
-): Promise<{ readonly seat: gate.Seat; readonly got: engine.Answer }> {
-  if (!deps.engine) throw outcome.notRun("not_found", "run", opts.name, "There is no engine here.");
-  for (let n = 0; n < DISPATCHES && place.seat; n++) {
-    const { seat } = place;
+): Promise<{ readonly seat: gate.Seat; readonly response: engine.Answer }> {
+  if (!deps.engine)
+    throw outcome.notRun("not_found", "run", opts.name, "This endpoint has no engine.");
+  for (let n = 0; n < MAX_ENGINE_CALLS && seatRef.seat; n++) {
+    const { seat } = seatRef;
     const call: engine.Call = {
       name: seat.name,
       id: a.id,
@@ -224,28 +248,28 @@
       fields,
       priority: -Math.round(a.worth),
     };
-    const got = await deps.engine.run(call, signal);
-    if (got.status === 200) return { seat, got };
-    const why = `The engine answered ${got.status}: ${await start(got)}`;
-    if (got.status !== STATUS_NOT_FOUND) {
+    const response = await deps.engine.run(call, signal);
+    if (response.status === 200) return { seat, response };
+    const why = `The engine answered ${response.status}: ${await readRefusal(response)}`;
+    if (response.status !== STATUS_NOT_FOUND) {
       seat.end();
-      throw engineFailed(opts, got.status, why);
+      throw engineFailed(opts, response.status, why);
     }
-    place.seat = undefined;
-    place.seat = await seat.again();
+    seatRef.seat = undefined;
+    seatRef.seat = await seat.again();
   }
-  place.seat?.end();
+  seatRef.seat?.end();
   throw outcome.notRun("not_ready", "engine", opts.name, "The engine keeps losing the adapter.", 0);
 }
 
-/** The first characters of an engine's refusal. */
-async function start(got: engine.Answer): Promise<string> {
+/** Reads the first characters of an engine's refusal. */
+async function readRefusal(response: engine.Answer): Promise<string> {
   let text = "";
-  got.body.setEncoding("utf8");
-  for await (const part of got.body as AsyncIterable<string>) {
-    if (text.length < SHOWN) text += part;
+  response.body.setEncoding("utf8");
+  for await (const part of response.body as AsyncIterable<string>) {
+    if (text.length < MAX_REFUSAL_CHARS) text += part;
   }
-  return text.slice(0, SHOWN);
+  return text.slice(0, MAX_REFUSAL_CHARS);
 }
 
 function engineFailed(opts: Options, status: number, message: string): outcome.StepError {
@@ -268,22 +292,22 @@
   res: http.ServerResponse,
 ): Promise<void> {
   if (!deps.service) {
-    throw outcome.notRun("not_found", "run", a.id, "There is no service here.");
+    throw outcome.notRun("not_found", "run", a.id, "This endpoint has no plain service.");
   }
-  const got = await deps.service.run(work.method, work.path, req, signal);
+  const response = await deps.service.run(work.method, work.path, req, signal);
   const headers: Record<string, string | string[]> = {};
-  for (const [name, value] of Object.entries(got.headers)) {
+  for (const [name, value] of Object.entries(response.headers)) {
     if (value === undefined || name === "connection" || name === "transfer-encoding") continue;
     if (name === "keep-alive" || name.startsWith("sumacfield-")) continue;
     headers[name] = value;
   }
-  res.writeHead(got.statusCode, {
+  res.writeHead(response.statusCode, {
     ...headers,
     [wire.HEADER.attempt]: a.id,
     [wire.HEADER.outcome]: "ran",
     ...newsHeader(deps),
   });
-  await pump.pump(got.body, res);
+  await pump.pump(response.body, res);
   seat.end();
   res.end();
 }
--- a/src/endpoint/service.ts
+++ b/src/endpoint/service.ts
@@ -1,13 +1,13 @@
 /**
- * The plain service beside an endpoint daemon. Bytes go through both ways as they come.
+ * A proxy to the plain service beside an endpoint daemon. Bodies are streamed both ways unchanged.
  * @module
  */
 import type * as http from "node:http";
 import * as undici from "undici";
 import * as outcome from "../request/outcome.js";
 
-/** Headers that belong to one connection, not to the call. */
-const HOP = new Set([
+/** Hop-by-hop and connection-specific headers, which are not forwarded. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -20,22 +20,28 @@
   "expect",
 ]);
 
-/** Prefix of the system's own headers, which neither caller nor service sees or sets. */
-const OWN = "sumacfield-";
+/** Prefix of internal headers, which callers and services neither see nor set. */
+const INTERNAL_HEADER_PREFIX = "sumacfield-";
 
-/** The headers of a call that go on to the next connection. */
+/**
+ * The request headers to forward: without hop-by-hop headers, those that `connection` lists, internal
+ * headers and `authorization`.
+ */
 export function passable(headers: http.IncomingHttpHeaders): Record<string, string | string[]> {
-  const listed = (headers.connection ?? "").split(",").map((h) => h.trim().toLowerCase());
+  const connectionHeaders = (headers.connection ?? "")
+    .split(",")
+    .map((h) => h.trim().toLowerCase());
   const out: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || HOP.has(name) || listed.includes(name)) continue;
-    if (name.startsWith(OWN) || name === "authorization") continue;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(name) || connectionHeaders.includes(name))
+      continue;
+    if (name.startsWith(INTERNAL_HEADER_PREFIX) || name === "authorization") continue;
     out[name] = value;
   }
   return out;
 }
 
-/** The service, with the same words for failures as the engine. */
+/** A plain service. Failed calls throw a `StepError` with the same outcomes as calls of an engine. */
 export interface Service {
   readonly run: (
     method: string,
@@ -45,18 +51,18 @@
   ) => Promise<undici.Dispatcher.ResponseData>;
 }
 
-/** Opens the service at `url` with at most `connections` calls at once. */
+/** Creates a client for the service at `url`, with at most `connections` concurrent calls. */
 export function open(url: string, connections: number): Service {
   const agent = new undici.Agent({ connections, headersTimeout: 0, bodyTimeout: 0 });
   return {
     run: async (method, path, req, signal) => {
-      const bare = method === "GET" || method === "HEAD";
+      const hasNoBody = method === "GET" || method === "HEAD";
       try {
         return await undici.request(url + path, {
           dispatcher: agent,
           method: method,
           headers: passable(req.headers),
-          body: bare ? null : req,
+          body: hasNoBody ? null : req,
           signal,
         });
       } catch (err) {
--- a/src/endpoint/setup.ts
+++ b/src/endpoint/setup.ts
@@ -1,5 +1,5 @@
 /**
- * What the gate before an engine is given.
+ * Options and dependencies of the admission gate.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -9,42 +9,42 @@
 import type * as engine from "./engine.js";
 import type * as plan from "./plan.js";
 
-/** The deployment's turn at the weight store. */
+/** Asks for this endpoint's turn to load from the weight store, which the whole deployment shares. */
 export interface Turn {
   readonly ask: (target: string, score: number) => Promise<control.TurnAnswer>;
   readonly end: () => void;
 }
 
-/** This daemon's hold on the engine. */
+/** This daemon's exclusive lease on the engine. */
 export interface Hold {
-  /** Fencing number for orders; 0 when none was ever had. */
+  /** Fencing number to send with load and unload orders; 0 if the lease was never held. */
   readonly fence: () => number;
-  /** Whether the daemon that lived as `epoch` handed over and gives no more orders. */
+  /** Whether the daemon with `epoch` handed over the engine and sends it no more orders. */
   readonly trusts: (epoch: string) => boolean;
-  /** Whether another daemon took the engine. */
+  /** Whether another daemon took over the lease. */
   readonly lost: () => boolean;
 }
 
 export interface Options {
   readonly name: string;
-  /** Unlike that of any other start of any daemon. */
+  /** Unique for each start of a daemon. */
   readonly epoch: string;
   readonly plan: plan.Options;
   readonly slots: number;
   readonly halfLifeMs: number;
-  /** Milliseconds between looks at the engine. */
+  /** Milliseconds between polls of the engine. */
   readonly healthMs: number;
-  /** How far the engine's counts may lag, in ms. */
+  /** Milliseconds by which the request counts of the engine may lag behind. */
   readonly lagMs: number;
-  /** Milliseconds after which a cancelled request has surely ended, whatever the counts say. */
+  /** Milliseconds after which a cancelled request has certainly ended, whatever the counts show. */
   readonly cancelMs: number;
-  /** Milliseconds an order may still be on its way after its reply was lost. */
+  /** Milliseconds for which an order may still take effect after its reply was lost. */
   readonly orderMs: number;
-  /** Milliseconds after a failed load before the next try of that adapter here. */
+  /** Milliseconds to wait after a failed load before the same adapter is loaded again. */
   readonly retryLoadMs: number;
-  /** Whether the engine refuses orders with an old fencing number. */
+  /** Whether the engine refuses orders with an outdated fencing number. */
   readonly fencing: "honoured" | "ignored";
-  /** First guess of a load and of an answer, in ms, until some were seen. */
+  /** Initial estimates of the duration of a load and of an answer, in ms. */
   readonly guessLoadMs: number;
   readonly guessServiceMs: number;
 }
@@ -53,11 +53,12 @@
   readonly clock: clock.Clock;
   readonly log: log.Log;
   readonly metrics: metrics.Metrics;
-  /** Undefined beside a plain service. */
+  /** Undefined for a plain service. */
   readonly engine: engine.Engine | undefined;
   readonly turn: Turn;
   readonly hold: Hold;
-  /** Where an adapter's weights are; undefined when the intent names no such version. */
+  /** Location of the weights of `target`; undefined if the intent has no such version. */
   readonly source: (target: string) => string | undefined;
+  /** Revision of the intent that this daemon follows. */
   readonly revision: () => number;
 }
--- a/src/endpoint/slot.ts
+++ b/src/endpoint/slot.ts
@@ -1,22 +1,23 @@
 /**
- * The life of one adapter under one name on an engine, and the slots of an engine together.
+ * The state machine of an adapter that is loaded on an engine under one name, and the set of an
+ * engine's slots.
  * @module
  */
 import * as xstate from "xstate";
 
-/** What happens to a slot. */
+/** An event of a slot. */
 export type SlotEvent =
   | { readonly type: "loaded" }
   | { readonly type: "failed" }
   | { readonly type: "unload" }
   | { readonly type: "unloaded" }
-  /** The reply to an order was lost: it may take effect now, later or never. */
+  /** The reply to an order was lost: the order may take effect now, later or never. */
   | { readonly type: "lost" };
 
 /**
- * A name goes through this life once. After a lost reply it is never loaded or used again, only
- * unloaded until the engine's own list shows it gone: an order that is still on its way can then
- * hurt nobody.
+ * Each name passes through these phases once. After a lost reply a name is "doubtful": it is never
+ * loaded or used again, only unloaded, until the engine's list shows that it is gone. An order that
+ * takes effect late can then do no harm.
  */
 const machine = xstate.setup({ types: { events: {} as SlotEvent } }).createMachine({
   id: "slot",
@@ -32,7 +33,7 @@
   },
 });
 
-/** Where a slot is in its life. */
+/** The phase of a slot. */
 export type Phase = "loading" | "loaded" | "unloading" | "doubtful" | "gone";
 
 const snapshots = Object.fromEntries(
@@ -42,24 +43,29 @@
   ]),
 ) as Readonly<Record<Phase, xstate.SnapshotFrom<typeof machine>>>;
 
-/** The phase after `event`. Throws RangeError where the life has no such step. */
+/** The phase after `event`. Throws RangeError if `phase` does not allow the event. */
 export function advance(phase: Phase, event: SlotEvent): Phase {
   if (!snapshots[phase].can(event)) {
-    throw new RangeError(`a slot that is ${phase} cannot take the event ${event.type}`);
+    throw new RangeError(`a slot that is ${phase} does not allow the event ${event.type}`);
   }
   return xstate.transition(machine, snapshots[phase], event)[0].value;
 }
 
-/** One adapter and version on the engine. */
+/** Room on the engine for one adapter, taken by one version of it. */
 export interface Slot {
-  /** Name on the engine; unlike any other name ever used there. */
+  /** Name on the engine; never used there before or again. */
   readonly name: string;
-  /** `adapter@version`; undefined for a name that some other holder loaded. */
+  /**
+   * `adapter@version`; undefined for a name that another daemon loaded and this one must not use.
+   */
   readonly target: string | undefined;
   readonly phase: Phase;
-  /** Attempts that use it, from before their dispatch to their last byte or confirmed cancel. */
+  /**
+   * Number of attempts that use the slot, from just before their dispatch to their last byte or
+   * confirmed cancellation.
+   */
   readonly pins: number;
-  /** Monotonic ms of the last phase. */
+  /** When the current phase began, in monotonic ms. */
   readonly since: number;
 }
 
@@ -69,19 +75,19 @@
   readonly byName: ReadonlyMap<string, Slot>;
 }
 
-/** No slot used yet. */
+/** An engine without loaded adapters. */
 export function empty(capacity: number): Slots {
   return { capacity, byName: new Map() };
 }
 
-function put(s: Slots, slot: Slot): Slots {
+function withSlot(s: Slots, slot: Slot): Slots {
   const byName = new Map(s.byName);
   if (slot.phase === "gone") byName.delete(slot.name);
   else byName.set(slot.name, slot);
   return { ...s, byName };
 }
 
-function must(s: Slots, name: string): Slot {
+function getSlot(s: Slots, name: string): Slot {
   const slot = s.byName.get(name);
   if (!slot) throw new RangeError(`no slot named ${name}`);
   return slot;
@@ -90,39 +96,47 @@
 /** Begins to load `target` under a fresh `name`. */
 export function begin(s: Slots, name: string, target: string, now: number): Slots {
   if (s.byName.has(name)) throw new RangeError(`${name} was used before`);
-  return put(s, { name, target, phase: "loading", pins: 0, since: now });
+  return withSlot(s, { name, target, phase: "loading", pins: 0, since: now });
 }
 
-/** Takes over a name found on the engine; `target` is undefined when this holder must not use it. */
+/**
+ * Adds a name found on the engine as loaded; `target` is undefined if this daemon must not use it.
+ */
 export function adopt(s: Slots, name: string, target: string | undefined, now: number): Slots {
-  return put(s, { name, target, phase: "loaded", pins: 0, since: now });
+  return withSlot(s, { name, target, phase: "loaded", pins: 0, since: now });
 }
 
-/** Moves one slot on. Unloading a slot in use throws: no adapter is evicted while a request uses it. */
+/**
+ * Applies an event to a slot. Throws RangeError if a slot in use would be unloaded, so that no adapter
+ * is evicted while a request uses it.
+ */
 export function move(s: Slots, name: string, event: SlotEvent, now: number): Slots {
-  const slot = must(s, name);
+  const slot = getSlot(s, name);
   if (event.type === "unload" && slot.pins > 0) {
     throw new RangeError(`${name} is used by ${slot.pins} attempts`);
   }
-  return put(s, { ...slot, phase: advance(slot.phase, event), since: now });
+  return withSlot(s, { ...slot, phase: advance(slot.phase, event), since: now });
 }
 
-/** Counts one more attempt on a loaded slot. */
+/** Pins a loaded slot for one more attempt. */
 export function pin(s: Slots, name: string): Slots {
-  const slot = must(s, name);
+  const slot = getSlot(s, name);
   if (slot.phase !== "loaded") throw new RangeError(`${name} is ${slot.phase}, not loaded`);
-  return put(s, { ...slot, pins: slot.pins + 1 });
+  return withSlot(s, { ...slot, pins: slot.pins + 1 });
 }
 
-/** Counts one attempt less; a slot that a cold start took away needs nothing. */
+/**
+ * Removes the pin of one attempt. Does nothing for a slot that no longer exists because the engine
+ * restarted.
+ */
 export function unpin(s: Slots, name: string): Slots {
   const slot = s.byName.get(name);
   if (!slot) return s;
   if (slot.pins === 0) throw new RangeError(`${name} is not in use`);
-  return put(s, { ...slot, pins: slot.pins - 1 });
+  return withSlot(s, { ...slot, pins: slot.pins - 1 });
 }
 
-/** The loaded slot that serves `target`, if any. */
+/** The loaded slot for `target`, if any. */
 export function serving(s: Slots, target: string): Slot | undefined {
   for (const slot of s.byName.values()) {
     if (slot.target === target && slot.phase === "loaded") return slot;
@@ -139,7 +153,7 @@
   return false;
 }
 
-/** Targets in one phase. */
+/** Targets of the slots in `phase`. */
 export function targets(s: Slots, phase: Phase): readonly string[] {
   const out: string[] = [];
   for (const slot of s.byName.values()) {
@@ -148,7 +162,7 @@
   return out;
 }
 
-/** Whether a load needs no eviction first. */
+/** Whether there is a free slot, so that a load needs no eviction. */
 export function hasRoom(s: Slots): boolean {
   return s.byName.size < s.capacity;
 }
--- a/src/endpoint/smooth.ts
+++ b/src/endpoint/smooth.ts
@@ -1,12 +1,12 @@
 /**
- * Smoothed figures, for estimates.
+ * Exponential moving averages, for estimates.
  * @module
  */
 
-/** Weight of a new figure against all before it. */
-const WEIGHT = 0.2;
+/** Weight of a new sample, from 0 to 1; the previous average has the rest. */
+const SAMPLE_WEIGHT = 0.2;
 
-/** The smoothed figure after one more was seen. */
-export function towards(old: number, seen: number): number {
-  return old + WEIGHT * (seen - old);
+/** The average after one more sample. */
+export function towards(average: number, sample: number): number {
+  return average + SAMPLE_WEIGHT * (sample - average);
 }
--- a/src/endpoint/turn.ts
+++ b/src/endpoint/turn.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoint daemon's side of turns at the weight store: it keeps the turns when it is the one to
- * do so, and asks whoever is otherwise.
+ * The endpoint daemon's part in turns at the weight store: it grants turns if it is the keeper, and
+ * asks the current keeper for turns otherwise.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -12,27 +12,30 @@
 import type * as setup from "./setup.js";
 import * as turns from "./turns.js";
 
+/** Dependencies of a coordinator. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: log.Log;
+  /** Name of this endpoint. */
   readonly name: string;
   readonly members: members.Members;
   readonly peer: (m: hosts.Member) => control.Peer;
 }
 
-/** Endpoint daemons that may keep the turns, one after the other as they fall silent. */
-const KEEPERS = 3;
-/** Longest waits for which a silent keeper is passed over. */
-const SILENT = 10;
-/** Times that a turn is kept alive within its hold. */
-const KEEPS = 3;
+/** Number of endpoint daemons that may be keeper; the next one takes over when one does not answer. */
+const MAX_KEEPERS = 3;
+/** Time for which a keeper that did not answer is skipped, as a multiple of `askMaxMs`. */
+const SILENCE_WAITS = 10;
+/** Number of times a turn is renewed within `holdMs`. */
+const RENEWALS_PER_HOLD = 3;
 
+/** Grants turns as the keeper, and asks for this endpoint's turn. */
 export class Desk {
   private turns: turns.Turns;
-  /** Who may keep the turns, first choice first. */
+  /** Members that may be keeper, in order of preference. */
   private keepers: readonly hosts.Member[] = [];
-  /** Keepers that did not answer, and until when they are passed over. */
-  private readonly silent = new Map<string, number>();
+  /** For each keeper that did not answer, the time until which it is skipped, in monotonic ms. */
+  private readonly silentUntil = new Map<string, number>();
 
   constructor(
     private readonly opts: turns.Options,
@@ -40,33 +43,34 @@
   ) {
     this.turns = turns.none(opts);
     deps.members.onChange(() => {
-      const able = deps.members.live().filter((m) => m.role === "endpoint");
-      this.keepers = members.first(able, "turn", KEEPERS);
+      const candidates = deps.members.live().filter((m) => m.role === "endpoint");
+      this.keepers = members.first(candidates, "turn", MAX_KEEPERS);
     });
   }
 
   private keeper(): hosts.Member | undefined {
     const now = this.deps.clock.mono();
-    return this.keepers.find((m) => (this.silent.get(m.name) ?? 0) <= now);
+    return this.keepers.find((m) => (this.silentUntil.get(m.name) ?? 0) <= now);
   }
 
-  /** Answers one question as the keeper. */
+  /** Answers a request for a turn, as the keeper. */
   ask(a: control.TurnAsk): control.TurnAnswer {
     const { turns: next, answer } = turns.ask(this.turns, a, this.deps.clock.mono());
     this.turns = next;
     return answer;
   }
 
+  /** Ends the turn of `endpoint`, as the keeper. */
   end(endpoint: string): void {
     this.turns = turns.end(this.turns, endpoint, this.deps.clock.mono());
   }
 
-  /** This endpoint's own turn, from whoever keeps them. */
+  /** A client that asks the current keeper for turns of this endpoint. */
   own(): setup.Turn {
     const { name, peer } = this.deps;
-    let keeping: clock.Timer | undefined;
-    // Each keeper that does not answer is passed over for the next; the last resort is to load at
-    // once, which is slower together but never stops.
+    let renewalTimer: clock.Timer | undefined;
+    // Falls back to the next keeper if one does not answer. Without any keeper the load starts at
+    // once: concurrent loads are slower, but loading never stops.
     const ask = async (a: control.TurnAsk): Promise<control.TurnAnswer> => {
       const keeper = this.keeper();
       if (!keeper) return { kind: "go" };
@@ -74,37 +78,40 @@
       try {
         return await peer(keeper).askTurn.mutate(a);
       } catch (err) {
-        this.deps.log.info(`${keeper.name} does not keep the turns: ${errors.why(err)}`);
-        this.silent.set(keeper.name, this.deps.clock.mono() + SILENT * this.opts.askMaxMs);
+        this.deps.log.info(`Asking ${keeper.name} for a turn failed: ${errors.why(err)}`);
+        this.silentUntil.set(
+          keeper.name,
+          this.deps.clock.mono() + SILENCE_WAITS * this.opts.askMaxMs,
+        );
         return ask(a);
       }
     };
-    const keep = (a: control.TurnAsk): void => {
-      keeping = this.deps.clock.after(this.opts.holdMs / KEEPS, () => {
+    const scheduleRenewal = (a: control.TurnAsk): void => {
+      renewalTimer = this.deps.clock.after(this.opts.holdMs / RENEWALS_PER_HOLD, () => {
         void ask(a);
-        keep(a);
+        scheduleRenewal(a);
       });
     };
     return {
       ask: async (target, score) => {
         const a = { endpoint: name, target, score };
         const answer = await ask(a);
-        if (answer.kind === "go") keep(a);
+        if (answer.kind === "go") scheduleRenewal(a);
         return answer;
       },
       end: () => {
-        keeping?.cancel();
+        renewalTimer?.cancel();
         const keeper = this.keeper();
         if (!keeper || keeper.name === name) {
           this.end(name);
           return;
         }
-        // A turn that is not ended is free again after `holdMs`.
+        // If this call is lost, the keeper frees the turn after `holdMs`.
         peer(keeper)
           .endTurn.mutate({ endpoint: name })
           .catch((err: unknown) => {
             this.deps.log.debug(
-              `${keeper.name} was not told the end of a turn: ${errors.why(err)}`,
+              `Telling ${keeper.name} the end of a turn failed: ${errors.why(err)}`,
             );
           });
       },
--- a/src/endpoint/turns.ts
+++ b/src/endpoint/turns.ts
@@ -1,17 +1,19 @@
 /**
- * Whose load goes next, when the weight store runs one load at a time at full speed. One endpoint
- * daemon, the same for all by rendezvous hashing, keeps this value; it is only about speed, so a
- * moment with two of them or none does no harm and nothing needs to be agreed or kept.
+ * Decides which endpoint may load next from the weight store, which runs only a few loads at full
+ * speed (`parallel`). One endpoint daemon, the keeper, holds this state; all daemons choose it by
+ * rendezvous hashing. Turns only affect speed, so having two keepers or none for a moment is harmless,
+ * and the state needs no consensus and no persistence.
  * @module
  */
 import type * as control from "../link/control.js";
 
+/** Limits and times of turns. */
 export interface Options {
-  /** Loads that the weight store runs at full speed. */
+  /** Number of loads that the weight store runs at full speed. */
   readonly parallel: number;
-  /** Milliseconds after which a turn that was neither ended nor asked for again is free. */
+  /** Milliseconds after which a turn that was neither ended nor renewed expires. */
   readonly holdMs: number;
-  /** Shortest and longest wait told, in ms. */
+  /** Shortest and longest time after which a daemon is told to ask again, in ms. */
   readonly askMinMs: number;
   readonly askMaxMs: number;
 }
@@ -20,68 +22,73 @@
   readonly at: number;
 }
 
-/** Turns taken and asked for. */
+/** The granted turns and the waiting requests for turns. */
 export interface Turns {
   readonly opts: Options;
-  /** Endpoint that has a turn, and when it got it. */
+  /** For each endpoint that has a turn, when it was granted or last renewed, in monotonic ms. */
   readonly holders: ReadonlyMap<string, number>;
+  /** The waiting requests, by endpoint. */
   readonly asks: ReadonlyMap<string, Ask>;
-  /** Smoothed length of a turn in ms; paces the questions. */
+  /** Moving average of the length of a turn, in ms; paces repeated requests. */
   readonly turnMs: number;
 }
 
-const SMOOTHING = 0.2;
-/** An ask not repeated for this many of the longest waits is dropped. */
-const STALE = 3;
+/** Weight of a new turn's length in the moving average, from 0 to 1. */
+const SAMPLE_WEIGHT = 0.2;
+/** Time after which a request that was not repeated is dropped, as a multiple of `askMaxMs`. */
+const STALE_WAITS = 3;
 
+/** No turns and no requests. */
 export function none(opts: Options): Turns {
   return { opts, holders: new Map(), asks: new Map(), turnMs: opts.askMinMs };
 }
 
-function current(t: Turns, now: number): Turns {
+function dropExpired(t: Turns, now: number): Turns {
   const holders = new Map([...t.holders].filter(([, at]) => now - at < t.opts.holdMs));
-  const staleAfter = STALE * t.opts.askMaxMs;
+  const staleAfter = STALE_WAITS * t.opts.askMaxMs;
   const asks = new Map([...t.asks].filter(([, a]) => now - a.at < staleAfter));
   return { ...t, holders, asks };
 }
 
 /**
- * One question: "go" for whoever has a turn already and keeps it alive by asking; "go" for the most wanted load when a turn is free. Others are told when to ask again,
- * the later the more loads go before theirs, so that questions stay few however many wait.
+ * Answers a request for a turn. An endpoint that has a turn renews it by asking again and gets "go".
+ * Otherwise the requests with the highest scores get "go" while turns are free. All others are told
+ * when to ask again: the more requests are ahead, the later, so that the rate of requests stays low
+ * however many endpoints wait.
  */
 export function ask(
   t: Turns,
   a: control.TurnAsk,
   now: number,
 ): { readonly turns: Turns; readonly answer: control.TurnAnswer } {
-  const at = current(t, now);
-  if (at.holders.has(a.endpoint)) {
-    const holders = new Map(at.holders).set(a.endpoint, now);
-    return { turns: { ...at, holders }, answer: { kind: "go" } };
+  const live = dropExpired(t, now);
+  if (live.holders.has(a.endpoint)) {
+    const holders = new Map(live.holders).set(a.endpoint, now);
+    return { turns: { ...live, holders }, answer: { kind: "go" } };
   }
-  const asks = new Map(at.asks).set(a.endpoint, { ...a, at: now });
-  const ahead = [...asks.values()].filter((o) => before(o, a)).length;
-  const free = at.opts.parallel - at.holders.size;
-  if (ahead < free) {
+  const asks = new Map(live.asks).set(a.endpoint, { ...a, at: now });
+  const ahead = [...asks.values()].filter((o) => goesBefore(o, a)).length;
+  const freeTurns = live.opts.parallel - live.holders.size;
+  if (ahead < freeTurns) {
     asks.delete(a.endpoint);
-    const holders = new Map(at.holders).set(a.endpoint, now);
-    return { turns: { ...at, asks, holders }, answer: { kind: "go" } };
+    const holders = new Map(live.holders).set(a.endpoint, now);
+    return { turns: { ...live, asks, holders }, answer: { kind: "go" } };
   }
-  const { askMinMs, askMaxMs } = at.opts;
-  const wait = ahead === 0 ? askMinMs : ahead * at.turnMs;
+  const { askMinMs, askMaxMs } = live.opts;
+  const wait = ahead === 0 ? askMinMs : ahead * live.turnMs;
   const askAgainMs = Math.min(askMaxMs, Math.max(askMinMs, wait));
-  return { turns: { ...at, asks }, answer: { kind: "wait", askAgainMs } };
+  return { turns: { ...live, asks }, answer: { kind: "wait", askAgainMs } };
 }
 
-function before(a: control.TurnAsk, b: control.TurnAsk): boolean {
+function goesBefore(a: control.TurnAsk, b: control.TurnAsk): boolean {
   return a.score === b.score ? a.endpoint < b.endpoint : a.score > b.score;
 }
 
-/** The turn of `endpoint` is over. */
+/** Ends the turn of `endpoint`. */
 export function end(t: Turns, endpoint: string, now: number): Turns {
   const since = t.holders.get(endpoint);
   if (since === undefined) return t;
   const holders = new Map(t.holders);
   holders.delete(endpoint);
-  return { ...t, holders, turnMs: t.turnMs + SMOOTHING * (now - since - t.turnMs) };
+  return { ...t, holders, turnMs: t.turnMs + SAMPLE_WEIGHT * (now - since - t.turnMs) };
 }
--- a/src/endpoint/vllm.ts
+++ b/src/endpoint/vllm.ts
@@ -1,5 +1,5 @@
 /**
- * An engine behind vLLM's OpenAI-compatible HTTP interface with run-time LoRA.
+ * A client for an engine with vLLM's OpenAI-compatible HTTP API and run-time LoRA loading.
  * @module
  */
 import * as undici from "undici";
@@ -7,35 +7,40 @@
 import * as outcome from "../request/outcome.js";
 import type * as engine from "./engine.js";
 
-/** Header that carries the fencing number of an order. */
+/** Header that carries the fencing number of a load or unload order. */
 export const FENCE_HEADER = "x-fencing-token";
 const STATUS_CONFLICT = 409;
 const STATUS_NOT_FOUND = 404;
 
-const models = zod.object({
+const modelList = zod.object({
   data: zod.array(zod.object({ id: zod.string(), parent: zod.string().nullish() })),
 });
 
-/** Where the engine is and how patient to be with it. */
+/** Address, timeouts and connections of the engine. */
 export interface Options {
   /** E.g. `http://127.0.0.1:8000`. */
   readonly url: string;
-  /** For health and the list of models, in ms. */
+  /** Timeout of calls for health and the list of models, in ms. */
   readonly timeoutMs: number;
-  /** For a load or unload, in ms; loads wait for the weight store. */
+  /** Timeout of a load or unload, in ms; a load includes the read from the weight store. */
   readonly orderMs: number;
-  /** Connections to the engine; at least its seats. */
+  /** Largest number of connections to the engine; at least the number of its seats. */
   readonly connections: number;
 }
 
-/** Codes of errors that arise before any byte was sent. */
-const UNSENT = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT", "EHOSTUNREACH", "ENETUNREACH"]);
+/** Error codes that occur only before any byte was sent. */
+const NOT_SENT_CODES = new Set([
+  "ECONNREFUSED",
+  "UND_ERR_CONNECT_TIMEOUT",
+  "EHOSTUNREACH",
+  "ENETUNREACH",
+]);
 
 function codeOf(err: unknown): string {
   return err instanceof Error && "code" in err ? String(err.code) : "";
 }
 
-/** Opens the engine at `opts.url`; nothing is sent until a call. */
+/** Creates a client for the engine at `opts.url`; it connects on the first call. */
 export function open(opts: Options): engine.Engine {
   const agent = new undici.Agent({
     connections: opts.connections,
@@ -43,14 +48,14 @@
     bodyTimeout: 0,
   });
 
-  function broken(what: string, err: unknown): outcome.StepError {
+  function linkBroken(path: string, err: unknown): outcome.StepError {
     const why = err instanceof Error ? err.message : String(err);
     return new outcome.StepError({
       code: "link_broken",
-      outcome: UNSENT.has(codeOf(err)) ? "not_run" : "unknown",
+      outcome: NOT_SENT_CODES.has(codeOf(err)) ? "not_run" : "unknown",
       step: "engine",
       peer: opts.url,
-      message: `The engine did not answer ${what}: ${why}.`,
+      message: `The engine did not answer ${path}: ${why}.`,
     });
   }
 
@@ -64,11 +69,16 @@
       if (res.statusCode !== 200) throw new Error(`status ${res.statusCode}`);
       return text;
     } catch (err) {
-      throw broken(path, err);
+      throw linkBroken(path, err);
     }
   }
 
-  async function order(path: string, body: object, fence: number, done: number[]): Promise<void> {
+  async function sendOrder(
+    path: string,
+    body: object,
+    fence: number,
+    okStatuses: number[],
+  ): Promise<void> {
     let res: undici.Dispatcher.ResponseData;
     let text: string;
     try {
@@ -81,9 +91,9 @@
       });
       text = await res.body.text();
     } catch (err) {
-      throw broken(path, err);
+      throw linkBroken(path, err);
     }
-    if (done.includes(res.statusCode)) return;
+    if (okStatuses.includes(res.statusCode)) return;
     throw new outcome.StepError({
       code: res.statusCode === STATUS_CONFLICT ? "stale_epoch" : "load_failed",
       outcome: "failed",
@@ -98,19 +108,19 @@
       await get("/health");
       const text = await get("/metrics");
       return {
-        startedAt: gauge(text, "process_start_time_seconds"),
-        running: gauge(text, "vllm:num_requests_running"),
-        waiting: gauge(text, "vllm:num_requests_waiting"),
+        startedAt: sumGauge(text, "process_start_time_seconds"),
+        running: sumGauge(text, "vllm:num_requests_running"),
+        waiting: sumGauge(text, "vllm:num_requests_waiting"),
       };
     },
     models: async () => {
-      const list = models.parse(JSON.parse(await get("/v1/models")));
+      const list = modelList.parse(JSON.parse(await get("/v1/models")));
       return list.data.filter((m) => m.parent).map((m) => m.id);
     },
     load: (name, source, fence) =>
-      order("/v1/load_lora_adapter", { lora_name: name, lora_path: source }, fence, [200]),
+      sendOrder("/v1/load_lora_adapter", { lora_name: name, lora_path: source }, fence, [200]),
     unload: (name, fence) =>
-      order("/v1/unload_lora_adapter", { lora_name: name }, fence, [200, STATUS_NOT_FOUND]),
+      sendOrder("/v1/unload_lora_adapter", { lora_name: name }, fence, [200, STATUS_NOT_FOUND]),
     run: async (call, signal) => {
       try {
         const res = await undici.request(opts.url + call.path, {
@@ -127,14 +137,14 @@
           body: res.body,
         };
       } catch (err) {
-        throw broken(call.path, err);
+        throw linkBroken(call.path, err);
       }
     },
   };
 }
 
-/** Sums one gauge over its label sets in Prometheus' text format; undefined where it is missing. */
-function gauge(text: string, name: string): number | undefined {
+/** Sums a gauge over all its label sets in Prometheus text format; undefined if it is missing. */
+function sumGauge(text: string, name: string): number | undefined {
   let sum: number | undefined;
   for (const line of text.split("\n")) {
     const rest = line.startsWith(name) ? line.slice(name.length) : "";
--- a/test/endpoint.test.ts
+++ b/test/endpoint.test.ts
@@ -32,24 +32,24 @@
   ...more,
 });
 
-/** A state with these targets loaded. */
+/** A state with `targets` loaded. */
 function loaded(...targets: readonly string[]): plan.State {
   const s = plan.idle(OPTIONS, 2, 1000);
   const slots = targets.reduce(
-    (at, t) => slot.move(slot.begin(at, `${t}~1`, t, 0), `${t}~1`, { type: "loaded" }, 0),
+    (acc, t) => slot.move(slot.begin(acc, `${t}~1`, t, 0), `${t}~1`, { type: "loaded" }, 0),
     s.slots,
   );
   return { ...s, slots };
 }
 
 describe("slot", () => {
-  it("is never unloaded while in use", () => {
+  it("throws when a slot in use would be unloaded", () => {
     const s = slot.pin(loaded("a@1").slots, "a@1~1");
     expect(() => slot.move(s, "a@1~1", { type: "unload" }, 1)).throw(RangeError, "is used by 1");
     expect(slot.move(slot.unpin(s, "a@1~1"), "a@1~1", { type: "unload" }, 1).byName.size).equal(1);
   });
 
-  it("is not used again once it is in doubt", () => {
+  it("is neither used nor marked as loaded again while doubtful", () => {
     const s = slot.move(loaded("a@1").slots, "a@1~1", { type: "lost" }, 1);
     expect(slot.serving(s, "a@1")).equal(undefined);
     expect(() => slot.pin(s, "a@1~1")).throw(RangeError, "doubtful");
@@ -84,7 +84,7 @@
   fc.record({ kind: fc.constant("wait" as const), ms: fc.nat(4000) }),
 );
 
-/** Carries out what the plan says, and checks it on the way. */
+/** Carries out one action of the plan and checks that it is allowed. */
 function perform(s: plan.State, action: plan.Action, now: number, name: string): plan.State {
   switch (action.kind) {
     case "dispatch": {
@@ -98,9 +98,9 @@
     case "load": {
       let slots = s.slots;
       if (action.evict !== undefined) {
-        const victim = slots.byName.get(action.evict);
-        expect(victim?.pins).equal(0);
-        expect(s.waiting.some((w) => w.target === victim?.target)).equal(false);
+        const evicted = slots.byName.get(action.evict);
+        expect(evicted?.pins).equal(0);
+        expect(s.waiting.some((w) => w.target === evicted?.target)).equal(false);
         slots = slot.move(slots, action.evict, { type: "unload" }, now);
         slots = slot.move(slots, action.evict, { type: "unloaded" }, now);
       }
@@ -111,7 +111,7 @@
 }
 
 describe("plan", () => {
-  it("keeps its promises whatever comes", () => {
+  it("never exceeds its limits, dispatches twice or evicts a slot in use, for any sequence of events", () => {
     fc.assert(
       fc.property(fc.array(move, { maxLength: 80 }), (moves) => {
         let s = plan.idle(OPTIONS, 2, 1000);
@@ -157,7 +157,7 @@
     );
   });
 
-  it("starves nobody: a small caller goes before a large one's next", () => {
+  it("dispatches a small caller's attempt before the next one of a large caller", () => {
     let s = loaded("a@1");
     for (let i = 0; i < 6; i++)
       s = plan.arrive(s, waiting(`large${i}`, "a@1", { caller: "large" }));
@@ -166,7 +166,7 @@
     expect(chosen).length(3).include("small");
   });
 
-  it("loads what is worth most first, and what waits long in the end", () => {
+  it("loads the adapter of most worth first, but a long wait outweighs worth", () => {
     const cheap = waiting("1", "cheap@1", { worth: 1, arrivedAt: 0 });
     const dear = (at: number): plan.Waiting => waiting("2", "dear@1", { worth: 8, arrivedAt: at });
     const first = (s: plan.State, now: number): string | undefined =>
@@ -177,7 +177,7 @@
     expect(first(late, 9100)).equal("cheap@1");
   });
 
-  it("evicts the coldest that nobody uses or waits for", () => {
+  it("evicts the coldest adapter that no attempt uses or waits for", () => {
     let s = loaded("hot@1", "cold@1");
     for (let i = 0; i < 3; i++) {
       s = plan.leave(plan.arrive(s, waiting(`h${i}`, "hot@1")), `h${i}`);
@@ -193,7 +193,7 @@
 });
 
 describe("popularity", () => {
-  it("halves in a half-life, and forgets the coldest", () => {
+  it("halves after each half-life, and drops the coldest adapter beyond its limit", () => {
     let p = popularity.cold(1000, 2);
     p = popularity.hit(p, "a", 4, 0);
     expect(popularity.heat(p, "a", 1000)).closeTo(2, 1e-9);
@@ -209,15 +209,15 @@
       fc.property(fc.array(step, { maxLength: 12 }), (steps) => {
         const r = new register.Register(new time.Time(), 10);
         let dispatched = 0;
-        let told = false;
+        let givenUp = false;
         for (const s of steps) {
           if (s === "open") r.open("x");
-          else if (s === "give up") told ||= r.giveUp("x") === "given_up";
+          else if (s === "give up") givenUp ||= r.giveUp("x") === "given_up";
           else {
             try {
               r.dispatched("x");
               dispatched++;
-              expect(told).equal(false);
+              expect(givenUp).equal(false);
             } catch (err) {
               expect(err).instanceOf(RangeError);
             }
@@ -232,7 +232,7 @@
 describe("turns", () => {
   const opts = { parallel: 1, holdMs: 1000, askMinMs: 10, askMaxMs: 500 };
 
-  it("are held by one at a time, and go to the most wanted", () => {
+  it("are held by at most one endpoint, and others are told to ask again within the limits", () => {
     const step = fc.record({
       who: fc.nat(4),
       end: fc.boolean(),
@@ -262,7 +262,7 @@
     );
   });
 
-  it("are free again when their holder falls silent", () => {
+  it("expire unless their holder renews them", () => {
     const ask = (endpoint: string) => ({ endpoint, target: "a@1", score: 1 });
     const first = turns.ask(turns.none(opts), ask("e1"), 0);
     expect(first.answer.kind).equal("go");
@@ -284,8 +284,8 @@
   return out;
 }
 
-function cut(whole: Buffer, at: readonly number[]): readonly Buffer[] {
-  const cuts = [0, ...at.map((n) => n % whole.length).sort((a, b) => a - b), whole.length];
+function splitAt(whole: Buffer, positions: readonly number[]): readonly Buffer[] {
+  const cuts = [0, ...positions.map((n) => n % whole.length).sort((a, b) => a - b), whole.length];
   return cuts.slice(1).map((end, i) => whole.subarray(cuts[i], end));
 }
 
@@ -296,7 +296,7 @@
     const parts = fc.array(fc.nat(1000), { maxLength: 20 });
     await fc.assert(
       fc.asyncProperty(parts, async (at) => {
-        const out = await collect(cut(whole, at));
+        const out = await collect(splitAt(whole, at));
         expect(out).equal(whole.toString().replaceAll(EXPECTED.name, EXPECTED.target));
       }),
     );
@@ -312,7 +312,7 @@
     );
   });
 
-  it("is bounded", async () => {
+  it("fails when an event is larger than the limit", async () => {
     const endless = Buffer.from(`data: ${"x".repeat(20_000)}`);
     const err: unknown = await collect([endless]).catch((e: unknown) => e);
     expect(err).instanceOf(outcome.StepError);
--- a/test/turn.test.ts
+++ b/test/turn.test.ts
@@ -16,8 +16,14 @@
   leaving: false,
 });
 
-/** A desk at `e0` among five endpoints, of which those named are silent; asked notes who was asked. */
-async function desk(silent: (name: string) => boolean, asked: string[]): Promise<turn.Desk> {
+/**
+ * The coordinator of `e0` among five endpoints. Those for which `silent` is true do not answer; the names
+ * of all endpoints that are asked are added to `asked`.
+ */
+async function createCoordinator(
+  silent: (name: string) => boolean,
+  asked: string[],
+): Promise<turn.Desk> {
   const listed = ["e0", "e1", "e2", "e3", "e4"].map(member);
   const mems = new members.Members({ list: () => Promise.resolve(listed) }, log.silent);
   const peer = (m: hosts.Member): control.Peer => {
@@ -28,7 +34,7 @@
     return { askTurn: { mutate } } as unknown as control.Peer;
   };
   const opts = { parallel: 1, holdMs: 1000, askMinMs: 10, askMaxMs: 100 };
-  const made = new turn.Desk(opts, {
+  const coordinator = new turn.Desk(opts, {
     clock: new time.Time(),
     log: log.silent,
     name: "e0",
@@ -36,7 +42,7 @@
     peer,
   });
   await mems.refresh();
-  return made;
+  return coordinator;
 }
 
 describe("turn", () => {
@@ -44,14 +50,14 @@
     const asked: string[] = [];
     const order = members.first(["e0", "e1", "e2", "e3", "e4"].map(member), "turn", 3);
     const first = order[0]?.name;
-    const own = (await desk((name) => name === first, asked)).own();
+    const own = (await createCoordinator((name) => name === first, asked)).own();
     for (let i = 0; i < 3; i++) expect((await own.ask("a@1", 1)).kind).equal("go");
     expect(asked.filter((name) => name === first).length).most(1);
   });
 
-  it("is taken without asking when every keeper is silent", async () => {
+  it("is granted locally when no keeper answers, and silent keepers are not asked again", async () => {
     const asked: string[] = [];
-    const own = (await desk(() => true, asked)).own();
+    const own = (await createCoordinator(() => true, asked)).own();
     for (let i = 0; i < 3; i++) expect((await own.ask("a@1", 1)).kind).equal("go");
     expect(asked.length).most(3);
   });
