--- a/src/endpoint/daemon.ts
+++ b/src/endpoint/daemon.ts
@@ -207,14 +207,14 @@
   const handler: control.Handler = {
     news: () => current?.gate.news(),
     status: () => {
-      const news = current?.gate.news();
+      const report = current?.gate.news();
       return {
         ...daemon.commonStatus(parts),
         role: "endpoint",
-        state: news?.state ?? "without intent",
-        running: news?.running ?? 0,
-        waiting: news?.waiting ?? 0,
-        loaded: news?.loaded ?? [],
+        state: report?.state ?? "without intent",
+        running: report?.running ?? 0,
+        waiting: report?.waiting ?? 0,
+        loaded: report?.loaded ?? [],
       };
     },
     changesAfter: (revision) => parts.feed.after(revision),
--- a/src/endpoint/holdings.ts
+++ b/src/endpoint/holdings.ts
@@ -1,6 +1,6 @@
 /**
  * Tracks the adapters on an engine and sends the load and unload orders that change them. The manager
- * shares the plan's state with the gate; both change it only through the functions of `plan` and `slot`.
+ * shares the plan's state with the gate; both change it through the functions of `plan` and `slot`.
  * @module
  */
 import * as errors from "../host/why.js";
--- a/src/endpoint/server.ts
+++ b/src/endpoint/server.ts
@@ -149,14 +149,14 @@
   }
 }
 
-function newsHeader(deps: Deps): Record<string, string> {
+function reportHeader(deps: Deps): Record<string, string> {
   const currentGate = deps.gate();
   return currentGate ? { [wire.HEADER.news]: wire.encode(currentGate.news()) } : {};
 }
 
 function sendFailure(deps: Deps, res: http.ServerResponse, f: outcome.Failure): void {
   if (!res.headersSent) {
-    for (const [name, value] of Object.entries(newsHeader(deps))) res.setHeader(name, value);
+    for (const [name, value] of Object.entries(reportHeader(deps))) res.setHeader(name, value);
   }
   body.refuse(res, f);
 }
@@ -191,14 +191,14 @@
     const checked = await answer.whole(response.body, expected, opts.answerLimit);
     seat.end();
     const size = Buffer.byteLength(checked);
-    res.writeHead(200, { ...head, ...newsHeader(deps), "content-length": size });
+    res.writeHead(200, { ...head, ...reportHeader(deps), "content-length": size });
     res.end(checked);
     return;
   }
   // Sends the head with the first event, so that an earlier failure can still be sent as an error.
   let headSent = false;
   for await (const event of answer.streamed(response.body, expected, opts.answerLimit)) {
-    if (!headSent) res.writeHead(200, { ...head, ...newsHeader(deps) });
+    if (!headSent) res.writeHead(200, { ...head, ...reportHeader(deps) });
     headSent = true;
     if (!res.write(event)) await waitForDrain(res, signal);
   }
@@ -305,7 +305,7 @@
     ...headers,
     [wire.HEADER.attempt]: a.id,
     [wire.HEADER.outcome]: "ran",
-    ...newsHeader(deps),
+    ...reportHeader(deps),
   });
   await pump.pump(response.body, res);
   seat.end();
