--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps callers within this host's share of their limits.
+ * Enforces callers' limits: each entry host enforces its share of the limits of a grant.
  * @module
  */
 import * as limits from "../contract/limits.js";
@@ -8,13 +8,15 @@
 import type * as members from "../host/members.js";
 import * as outcome from "../request/outcome.js";
 
+/** Settings of the admission on one entry host. */
 export interface Options {
+  /** Name of this entry daemon. */
   readonly name: string;
-  /** Milliseconds told to come back after when a concurrency limit is reached. */
+  /** Milliseconds that a caller that reached a concurrency limit is told to wait before a retry. */
   readonly busyMs: number;
 }
 
-/** Owns what each caller uses of each grant. */
+/** Tracks how much of each grant each caller uses on this host. */
 export class Admission {
   private readonly usages = new Map<string, limits.Usage>();
 
@@ -24,28 +26,31 @@
     private readonly members: members.Members,
   ) {}
 
-  /** Where this host stands among the entry hosts that are not leaving. */
+  /** The position of this host among the entry hosts that are not leaving, sorted by name. */
   private position(): limits.Position {
-    const entries = this.members
+    const entryHosts = this.members
       .live()
       .filter((m) => m.role === "entry")
       .map((m) => m.name)
       .sort();
     return {
-      hosts: Math.max(1, entries.length),
-      index: Math.max(0, entries.indexOf(this.opts.name)),
+      hosts: Math.max(1, entryHosts.length),
+      index: Math.max(0, entryHosts.indexOf(this.opts.name)),
     };
   }
 
-  /** Lets a request in; the function returned must be called when it is over. Throws a `StepError`. */
+  /**
+   * Admits a request, or throws a `StepError` when a limit of the grant is reached. Call the
+   * returned function when the request has ended.
+   */
   enter(grant: objects.Grant, caller: objects.Caller): () => void {
     const key = `${grant.metadata.name}/${caller.metadata.name}`;
     const usage = this.usages.get(key) ?? limits.UNUSED;
     const now = this.clk.steady();
-    const l = grant.spec.limits;
-    const verdict = limits.enter(usage, l, this.position(), now, this.opts.busyMs);
+    const grantLimits = grant.spec.limits;
+    const verdict = limits.enter(usage, grantLimits, this.position(), now, this.opts.busyMs);
     if (!verdict.ok) {
-      const message = `The limit of ${verdict.what} in grant ${grant.metadata.name} is reached.`;
+      const message = `The ${verdict.what} limit of grant ${grant.metadata.name} is reached.`;
       const { name } = this.opts;
       throw outcome.notRun("limit_reached", "admit", name, message, verdict.waitMs);
     }
--- a/src/entry/daemon.ts
+++ b/src/entry/daemon.ts
@@ -1,5 +1,6 @@
 /**
- * The entry daemon: takes callers' requests on each entry host.
+ * The entry daemon, which serves callers' requests on an entry host. This module creates its parts,
+ * connects them, and stops them.
  * @module
  */
 import * as http from "node:http";
@@ -27,62 +28,62 @@
 export const SETTINGS = {
   ...daemon.SETTINGS,
   callersAddress: settings.address("callersAddress", {
-    help: "Where callers reach this daemon; port 0 takes a free one.",
+    help: "Address to listen on for callers; port 0 picks a free port.",
   }),
   deadlineMs: settings.int("deadlineMs", 1, {
-    help: "Time to the first byte for requests that name none, in ms.",
+    help: "Deadline of the first byte for requests that set none, in ms.",
     default: "30000",
   }),
   attempts: settings.int("attempts", 1, {
-    help: "Attempts for one request at most.",
+    help: "Largest number of attempts for one request.",
     default: "4",
   }),
   requests: settings.int("requests", 1, {
-    help: "Requests under way on this host at most.",
+    help: "Largest number of requests in flight on this host.",
     default: "4096",
   }),
   connections: settings.int("connections", 1, {
-    help: "Connections to one endpoint daemon at most.",
+    help: "Largest number of connections to one endpoint daemon.",
     default: "512",
   }),
   askEveryMs: settings.int("askEveryMs", 10, {
-    help: "Time between questions to endpoints for news, in ms.",
+    help: "Time between polls of endpoints, in ms.",
     default: "1000",
   }),
   asked: settings.int("asked", 1, {
-    help: "Endpoints asked for news at a time, those first that may be silent.",
+    help: "Endpoints polled at a time; those that may not be responding come first.",
     default: "16",
   }),
   misses: settings.int("misses", 1, {
-    help: "Questions without an answer after which an endpoint counts as silent.",
+    help: "Failed polls in a row after which an endpoint counts as not responding.",
     default: "3",
   }),
   route: settings.word("route", ROUTES, {
-    help: "How endpoints are chosen; all but the first are for comparison.",
+    help: "Routing policy; all but the first are for comparison.",
     default: "estimate",
   }),
   domainMs: settings.int("domainMs", 0, {
-    help: "Time that another failure domain is away, both ways, in ms.",
+    help: "Round-trip time to another failure domain, in ms.",
     default: "4",
   }),
   batchMs: settings.int("batchMs", 0, {
-    help: "Time that a full batch is preferred by over an empty one, in ms.",
+    help: "Advantage of an endpoint with a full batch over one with an empty batch, in ms.",
     default: "20",
   }),
   rankMs: settings.int("rankMs", 0, {
-    help: "Time that each step down the ring costs an endpoint without the adapter, in ms.",
+    help: "Cost of each place further along the ring for an endpoint without the adapter, in ms.",
     default: "50",
   }),
   candidates: settings.int("candidates", 1, {
-    help: "Endpoints of the ring weighed for one request.",
+    help: "Endpoints taken from the ring as candidates for one request.",
     default: "6",
   }),
   claimWindowMs: settings.int("claimWindowMs", 1000, {
-    help: "Time for which an idempotency key is remembered at least, in ms.",
+    help: "Shortest time for which an idempotency key is kept, in ms.",
     default: "3600000",
   }),
   claimBatchMs: settings.int("claimBatchMs", 0, {
-    help: "Time within which claims share one call to the store, in ms.",
+    help: "Time in which claims are collected into one call to the store, in ms.",
     default: "5",
   }),
   requestLimit: settings.int("requestLimit", 1, {
@@ -90,40 +91,56 @@
     default: "1048576",
   }),
   headersMs: settings.int("headersMs", 1, {
-    help: "Time for a caller to send its headers, in ms.",
+    help: "Timeout for receiving the headers of a request, in ms.",
     default: "10000",
   }),
   requestMs: settings.int("requestMs", 1, {
-    help: "Time for a caller to send its whole request, in ms.",
+    help: "Timeout for receiving a whole request, in ms.",
     default: "60000",
   }),
   retryAfterMs: settings.int("retryAfterMs", 0, {
-    help: "Time told to come back after when nothing better is known, in ms.",
+    help: "Default Retry-After for refused requests, in ms.",
     default: "1000",
   }),
 } as const;
+
+/** Values of the settings of an entry daemon. */
 export type Config = settings.Values<typeof SETTINGS>;
 
-/** A daemon that runs. */
+/** A running entry daemon. */
 export interface Running {
-  /** `ip:port` for callers. */
+  /** The `ip:port` that callers connect to. */
   readonly callersAddress: string;
+  /** The `ip:port` that other daemons connect to. */
   readonly linkAddress: string;
   readonly parts: daemon.Parts;
   readonly views: views.Views;
-  /** Stops gracefully: no request in progress is cut off. */
+  /** Shuts down gracefully: requests in flight are completed first. */
   readonly stop: () => Promise<void>;
-  /** Stops as if killed: connections break. */
+  /** Stops at once, as if the process was killed: open connections are broken. */
   readonly kill: () => void;
 }
 
+/**
+ * Retry tokens added for each admitted request; a retry takes one token, or less after a refusal.
+ */
 const RETRY_SHARE = 0.2;
-const RETRIES_PER_S = 10;
-const HOLDERS = 8;
+/** Retry tokens added each second, however few requests there are. */
+const MIN_RETRIES_PER_S = 10;
+/**
+ * Largest number of candidates taken per placement because they hold the adapter, in addition to
+ * the ring's.
+ */
+const MAX_HOLDERS = 8;
+/**
+ * Circuit breaker of each endpoint: failures in a row that open it, and how long it stays open, in
+ * ms.
+ */
 const CIRCUIT = { failures: 3, openMs: 1000, openMaxMs: 30_000 } as const;
-const CLAIM_BATCH = 64;
+/** Largest number of claims in one call to the store. */
+const MAX_CLAIM_BATCH = 64;
 
-/** Starts the daemon; resolves when it listens. */
+/** Starts the daemon; resolves when it is listening. */
 export async function start(
   cfg: Config,
   clk: clock.Clock = clock.system,
@@ -131,22 +148,22 @@
 ): Promise<Running> {
   const parts = daemon.assemble(cfg, clk, random);
   const lg = parts.logOf("entry");
-  const stop = new AbortController();
-  let leaving = false;
-  let underWay = 0;
+  const stopController = new AbortController();
+  let draining = false;
+  let inFlight = 0;
 
-  const known = new views.Views(
+  const endpointViews = new views.Views(
     {
       asked: cfg.asked,
       quietMs: cfg.askEveryMs,
       misses: cfg.misses,
       candidates: cfg.candidates,
-      holders: HOLDERS,
+      holders: MAX_HOLDERS,
       circuit: CIRCUIT,
     },
     { clock: clk, log: parts.logOf("views"), members: parts.members, peer: parts.peer },
   );
-  const retries = job.retryBudget(RETRY_SHARE, RETRIES_PER_S, clk);
+  const retries = job.retryBudget(RETRY_SHARE, MIN_RETRIES_PER_S, clk);
   const dispatcher = new undici.Agent({
     connections: cfg.connections,
     pipelining: 1,
@@ -161,7 +178,7 @@
     loadWeight: 1,
     rankMs: cfg.rankMs,
   };
-  const callers = server.create(
+  const callerServer = server.create(
     {
       name: cfg.name,
       deadlineMs: cfg.deadlineMs,
@@ -184,21 +201,21 @@
       metrics: parts.metrics,
       intent: () => parts.feed.intent(),
       ready: () => parts.feed.ready(),
-      leaving: () => leaving,
+      leaving: () => draining,
       admission: new admission.Admission(
         { name: cfg.name, busyMs: cfg.retryAfterMs },
         clk,
         parts.members,
       ),
       claims: new claims.Claims(
-        { windowMs: cfg.claimWindowMs, batchMs: cfg.claimBatchMs, batch: CLAIM_BATCH },
+        { windowMs: cfg.claimWindowMs, batchMs: cfg.claimBatchMs, batch: MAX_CLAIM_BATCH },
         { clock: clk, log: parts.logOf("claims"), store: parts.store },
       ),
       job: {
         clock: clk,
         log: parts.logOf("job"),
         random,
-        views: known,
+        views: endpointViews,
         members: parts.members,
         peer: parts.peer,
         dispatcher,
@@ -207,10 +224,10 @@
       letIn: retries.request,
     },
   );
-  callers.on("request", (_req, res: http.ServerResponse) => {
-    underWay++;
+  callerServer.on("request", (_req, res: http.ServerResponse) => {
+    inFlight++;
     res.on("close", () => {
-      underWay--;
+      inFlight--;
     });
   });
 
@@ -219,8 +236,8 @@
     status: () => ({
       ...daemon.commonStatus(parts),
       role: "entry",
-      state: leaving ? "draining" : parts.feed.ready() ? "serving" : "without intent",
-      running: underWay,
+      state: draining ? "draining" : parts.feed.ready() ? "serving" : "without intent",
+      running: inFlight,
       waiting: 0,
       loaded: [],
     }),
@@ -232,34 +249,34 @@
     explain: (caller, model) =>
       explain.explain(caller, model, {
         intent: parts.feed.intent(),
-        views: known,
+        views: endpointViews,
         now: clk.mono(),
         failureDomain: cfg.failureDomain,
         route: routing,
         random,
       }),
   };
-  const takeControl = controls.serve(cfg.name, handler, parts.verify, parts.traffic);
-  const link = http.createServer((req, res) => {
-    void takeControl(req, res).catch((err: unknown) => {
+  const handleControl = controls.serve(cfg.name, handler, parts.verify, parts.traffic);
+  const linkServer = http.createServer((req, res) => {
+    void handleControl(req, res).catch((err: unknown) => {
       body.refuse(res, outcome.toFailure(err, "control", cfg.name, "not_run"));
     });
   });
-  const linkAddress = await addresses.listen(link, cfg.linkAddress);
-  const callersAddress = await addresses.listen(callers, cfg.callersAddress);
-  lg.info(`Listening for callers on ${callersAddress}, for daemons on ${linkAddress}.`);
+  const linkAddress = await addresses.listen(linkServer, cfg.linkAddress);
+  const callersAddress = await addresses.listen(callerServer, cfg.callersAddress);
+  lg.info(`Listening on ${callersAddress} for callers and on ${linkAddress} for daemons.`);
 
   await parts.members.refresh();
   const tasks = [
-    parts.feed.run(stop.signal),
-    parts.members.follow(clk, cfg.hostsEveryMs, stop.signal),
+    parts.feed.run(stopController.signal),
+    parts.members.follow(clk, cfg.hostsEveryMs, stopController.signal),
     clock.every(
       clk,
       cfg.askEveryMs,
-      stop.signal,
-      () => known.ask(),
+      stopController.signal,
+      () => endpointViews.ask(),
       (err) => {
-        lg.error(`Asking for news broke off: ${errors.why(err)}`);
+        lg.error(`Polling endpoints failed: ${errors.why(err)}`);
       },
     ),
   ];
@@ -267,22 +284,22 @@
     callersAddress,
     linkAddress,
     parts,
-    views: known,
+    views: endpointViews,
     stop: async () => {
-      leaving = true;
-      lg.info("Leaving: the balancer is told by /readyz.");
+      draining = true;
+      lg.info("Draining: /readyz tells the load balancer to stop sending requests.");
       await clock.sleep(clk, cfg.drainMs);
-      await daemon.close(callers, clk);
-      stop.abort();
+      await daemon.close(callerServer, clk);
+      stopController.abort();
       await Promise.all(tasks);
-      await daemon.close(link, clk);
+      await daemon.close(linkServer, clk);
       await dispatcher.close();
       parts.metrics.close();
       lg.info("Stopped; nothing was cut off.");
     },
     kill: () => {
-      stop.abort();
-      for (const s of [callers, link]) {
+      stopController.abort();
+      for (const s of [callerServer, linkServer]) {
         s.closeAllConnections();
         s.close();
       }
--- a/src/entry/explain.ts
+++ b/src/entry/explain.ts
@@ -1,5 +1,5 @@
 /**
- * Why a caller's request for a model goes where it goes, in sentences for an operator.
+ * Explains to an operator, in sentences, how a caller's request for a model would be routed.
  * @module
  */
 import * as intents from "../contract/intent.js";
@@ -10,25 +10,26 @@
 import * as view from "./view.js";
 import type * as views from "./views.js";
 
-/** What the explanation is drawn from. */
+/** State that the explanation is based on. */
 export interface Deps {
   readonly intent: intents.Intent;
   readonly views: views.Views;
+  /** Monotonic ms. */
   readonly now: number;
   readonly failureDomain: string;
   readonly route: route.Options;
   readonly random: () => number;
 }
 
-/** The lines for `caller` and `model`; the last names the endpoint that would be chosen now. */
+/** Lines that explain the routing; the last names the endpoint that would be chosen now. */
 export function explain(callerName: string, model: string, d: Deps): readonly string[] {
   const caller = intents.find(d.intent, "Caller", callerName);
-  if (!caller) return [`There is no caller ${callerName}.`];
-  const found = intents.resolve(d.intent, model);
-  if (!found) return [`The intent names no adapter and version ${model}.`];
-  const { adapter, version } = found;
+  if (!caller) return [`Caller ${callerName} does not exist.`];
+  const resolved = intents.resolve(d.intent, model);
+  if (!resolved) return [`The intent has no adapter and version ${model}.`];
+  const { adapter, version } = resolved;
   const grant = intents.grantFor(d.intent, caller, adapter);
-  if (!grant) return [`No grant lets ${callerName} use ${adapter.metadata.name}.`];
+  if (!grant) return [`No grant allows ${callerName} to use ${adapter.metadata.name}.`];
   const placements = intents.placementsOf(d.intent, adapter);
   const work = {
     kind: "model",
@@ -41,18 +42,19 @@
   const candidates = d.views.candidates(d.intent, adapter, key, new Set());
   const best = route.choose(candidates, key, d.failureDomain, d.route, d.random);
   return [
-    `${model} is ${key}, granted by ${grant.metadata.name}.`,
+    `${model} resolves to ${key}, allowed by grant ${grant.metadata.name}.`,
     placements.length === 0
-      ? `No placement picks ${adapter.metadata.name}.`
-      : `Placed by ${placements.map((p) => p.metadata.name).join(", ")}.`,
+      ? `No placement selects ${adapter.metadata.name}.`
+      : `Selected by placements: ${placements.map((p) => p.metadata.name).join(", ")}.`,
     ...intents
       .list(d.intent, "Endpoint")
-      .map((e) => line(e, adapter, key, placements, candidates, d)),
-    best ? `Chosen now: ${best.view.name}.` : "Chosen now: none.",
+      .map((e) => describeEndpoint(e, adapter, key, placements, candidates, d)),
+    best ? `Chosen endpoint: ${best.view.name}.` : "Chosen endpoint: none.",
   ];
 }
 
-function line(
+/** The line for one endpoint: its estimated cost, or why it is not a candidate. */
+function describeEndpoint(
   e: objects.Endpoint,
   adapter: objects.Adapter,
   key: string,
@@ -64,18 +66,19 @@
   const candidate = candidates.find((c) => c.view.name === name);
   if (candidate) {
     const cost = route.estimate(candidate, key, d.failureDomain, d.route);
-    const sum = [
+    const breakdown = [
       `queue ${Math.round(cost.queueMs)}`,
       `load ${Math.round(cost.loadMs)}`,
       `link ${Math.round(cost.linkMs)}`,
       `batch -${Math.round(cost.batchMs)}`,
     ].join(", ");
-    return `${name}: allowed; the adapter is ${cost.holding}; ${Math.round(cost.total)} ms (${sum}).`;
+    return `${name}: candidate; the adapter is ${cost.holding}; ${Math.round(cost.total)} ms (${breakdown}).`;
   }
-  return `${name}: left out; ${whyOut(e, adapter, placements, d)}.`;
+  return `${name}: not a candidate; ${exclusionReason(e, adapter, placements, d)}.`;
 }
 
-function whyOut(
+/** Why an endpoint is not among the candidates. */
+function exclusionReason(
   e: objects.Endpoint,
   adapter: objects.Adapter,
   placements: readonly objects.Placement[],
@@ -83,13 +86,14 @@
 ): string {
   if (!intents.fits(e, adapter)) return `it does not serve ${adapter.spec.baseModel}`;
   const labels = intents.labelsOf(d.intent, e);
-  const missed = placements.map((p) => {
+  const mismatches = placements.map((p) => {
     const why = selector.whyNot(p.spec.endpoints, labels);
     return why && `placement ${p.metadata.name}: ${why}`;
   });
-  if (missed.length > 0 && missed.every((m) => m !== undefined)) return missed.join("; ");
-  if (intents.drained(d.intent, e)) return `label ${intents.DRAIN_LABEL} drains it`;
+  if (mismatches.length > 0 && mismatches.every((m) => m !== undefined))
+    return mismatches.join("; ");
+  if (intents.drained(d.intent, e)) return `it is drained by label ${intents.DRAIN_LABEL}`;
   const v = d.views.get(e.metadata.name);
-  if (!v) return "the list of hosts does not have it";
-  return view.unusable(v, d.now) ?? "others come first on the ring";
+  if (!v) return "it is not in the list of hosts";
+  return view.unusable(v, d.now) ?? "other endpoints come first on the ring";
 }
--- a/src/entry/job.ts
+++ b/src/entry/job.ts
@@ -1,6 +1,6 @@
 /**
- * One request on its way: chooses an endpoint, sends an attempt, and tries another where the trail of
- * attempts allows it, until an answer begins or a final word can be said.
+ * Runs one admitted request: chooses an endpoint, sends an attempt, and retries at another endpoint
+ * while the trail of attempts allows it, until an answer begins or the request fails.
  * @module
  */
 import * as crypto from "node:crypto";
@@ -22,13 +22,15 @@
 import * as route from "./route.js";
 import type * as views from "./views.js";
 
+/** Settings of how requests are sent. */
 export interface Options {
   readonly failureDomain: string;
   readonly route: route.Options;
-  /** Attempts for one request at most. */
+  /** Largest number of attempts for one request. */
   readonly attempts: number;
-  /** Milliseconds told to come back after when nothing better is known. */
+  /** Milliseconds that a caller is told to wait before a retry when the failure names no time. */
   readonly retryAfterMs: number;
+  /** Keys that requests to endpoint daemons are signed with. */
   readonly clusterKeys: keys.Keys;
 }
 
@@ -40,11 +42,11 @@
   readonly members: members.Members;
   readonly peer: (m: hosts.Member) => control.Peer;
   readonly dispatcher: undici.Dispatcher;
-  /** Takes a retry of some cost from the budget, or says no. */
+  /** Takes the cost of a retry from the retry budget; false when the budget is used up. */
   readonly retry: (cost: number) => boolean;
 }
 
-/** A request that was let in. */
+/** A request that was admitted. */
 export interface Job {
   readonly id: string;
   readonly intent: intents.Intent;
@@ -52,100 +54,121 @@
   readonly work: wire.Attempt["work"];
   readonly caller: objects.Caller;
   readonly worth: number;
+  /** Requests of this caller that may wait at one endpoint at once. */
   readonly queue: number;
   readonly repeatable: boolean;
-  /** Monotonic ms by which the first byte is wanted. */
+  /** Deadline of the first byte of the answer, in monotonic ms. */
   readonly dueAt: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
-  /** A stream can be sent once; the second attempt of such a request is not made. */
+  /** A stream can be read only once, so a request with one is never retried. */
   readonly body: Buffer | stream.Readable;
-  /** Aborts when the caller goes away. */
+  /** Aborts when the caller disconnects. */
   readonly gone: AbortSignal;
 }
 
-/** An answer that has begun. */
+/** An answer whose headers have arrived. */
 export interface Begun {
   readonly endpoint: string;
   readonly attempts: number;
   readonly res: undici.Dispatcher.ResponseData;
-  /** To be called when bytes of the body come. */
+  /** Records that the endpoint is alive; call it whenever bytes of the body arrive. */
   readonly alive: () => void;
-  /** Tells whether the body came to its end. */
+  /** Ends the attempt; `whole` tells whether the body was received completely. */
   readonly done: (whole: boolean) => void;
 }
 
-/** The key an adapter and version, or a service, is known by. */
+/**
+ * The key that identifies an adapter and version, or a service, on the ring and in reports of
+ * endpoints.
+ */
 export function keyOf(work: wire.Attempt["work"]): string {
   return work.kind === "model" ? `${work.adapter}@${work.version}` : work.service;
 }
 
-/** Part of a retry that one after a refusal counts as: it took no engine's time. */
-const REFUSED_COST = 0.25;
+/**
+ * Cost of a retry after a refusal, in retry tokens; other retries cost one. It is lower because a
+ * refused attempt took no time of an engine.
+ */
+const REFUSED_RETRY_COST = 0.25;
 const JSON_TYPE = "application/json";
 
-/** Codes of errors that arise before a connection stood. */
-const UNCONNECTED = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT", "EHOSTUNREACH"]);
+/** Codes of errors that occur before a connection is established, so that nothing was sent. */
+const CONNECT_ERROR_CODES = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT", "EHOSTUNREACH"]);
 
-/** Sends attempts until one answers. Throws a `StepError` whose outcome the trail vouches for. */
+/**
+ * Sends attempts until one answers. Throws a `StepError` when none does; its outcome follows from
+ * the trail of attempts.
+ */
 export async function run(job: Job, opts: Options, deps: Deps): Promise<Begun> {
-  let at = trail.start(job.repeatable);
+  let trailState = trail.start(job.repeatable);
   const tried = new Set<string>();
-  let last: outcome.Failure | undefined;
+  let lastFailure: outcome.Failure | undefined;
   for (let n = 1; n <= opts.attempts; n++) {
-    if (n > 1 && !mayRetry(job, at, deps)) break;
-    const left = job.dueAt - deps.clock.mono();
-    if (left <= 0) {
-      last = { ...failure("deadline", "route", "The deadline passed."), retryAfterMs: 0 };
+    if (n > 1 && !mayRetry(job, trailState, deps)) break;
+    const remainingMs = job.dueAt - deps.clock.mono();
+    if (remainingMs <= 0) {
+      lastFailure = {
+        ...notRunFailure("deadline", "route", "The deadline passed."),
+        retryAfterMs: 0,
+      };
       break;
     }
-    const chosen = choose(job, opts, deps, tried);
-    if (!chosen) break;
-    tried.add(chosen.name);
-    at = trail.step(at, "send");
-    const sent = await send(job, chosen, left, opts, deps, n);
-    switch (sent.kind) {
+    const destination = choose(job, opts, deps, tried);
+    if (!destination) break;
+    tried.add(destination.name);
+    trailState = trail.step(trailState, "send");
+    const result = await send(job, destination, remainingMs, opts, deps, n);
+    switch (result.kind) {
       case "begun":
-        trail.step(at, "begun");
-        return sent.begun;
+        trail.step(trailState, "begun");
+        return result.begun;
       case "refused":
-        at = trail.step(at, "refused");
-        last = sent.failure;
-        if (sent.failure.code === "stale_epoch") tried.delete(chosen.name);
+        trailState = trail.step(trailState, "refused");
+        lastFailure = result.failure;
+        if (result.failure.code === "stale_epoch") tried.delete(destination.name);
         break;
       case "failed":
-        // What the engine itself refused, it would refuse elsewhere too.
-        if (!job.repeatable || sent.failure.code === "engine_refused") {
-          throw new outcome.StepError(sent.failure);
+        // A request that one engine refuses would be refused by the others too.
+        if (!job.repeatable || result.failure.code === "engine_refused") {
+          throw new outcome.StepError(result.failure);
         }
-        at = trail.step(at, "spoiled");
-        last = sent.failure;
+        trailState = trail.step(trailState, "spoiled");
+        lastFailure = result.failure;
         break;
       case "broke":
-        at = trail.step(at, "broke");
-        if (await provedNotRun(chosen, sent.attempt, deps)) at = trail.step(at, "proved");
-        last = sent.failure;
+        trailState = trail.step(trailState, "broke");
+        if (await confirmNotRun(destination, result.attempt, deps))
+          trailState = trail.step(trailState, "proved");
+        lastFailure = result.failure;
         break;
     }
     if (job.gone.aborted) break;
   }
-  throw final(at, last, opts);
+  throw finalError(trailState, lastFailure, opts);
 }
 
-/** Another attempt after a refusal costs little; one after a doubt may run the work twice. */
-function mayRetry(job: Job, at: trail.Trail, deps: Deps): boolean {
-  if (!trail.maySend(at) || !Buffer.isBuffer(job.body)) return false;
-  const ran = at.context.doubts + at.context.spoiled > 0;
-  return deps.retry(ran ? 1 : REFUSED_COST);
+/**
+ * Whether another attempt may be sent; takes its cost from the retry budget. A retry after a
+ * refusal is cheap, while one after an attempt that ran or may have run costs a full token, as the
+ * work may run twice.
+ */
+function mayRetry(job: Job, trailState: trail.Trail, deps: Deps): boolean {
+  if (!trail.maySend(trailState) || !Buffer.isBuffer(job.body)) return false;
+  const ran = trailState.context.doubts + trailState.context.spoiled > 0;
+  return deps.retry(ran ? 1 : REFUSED_RETRY_COST);
 }
 
-function final(
-  at: trail.Trail,
-  last: outcome.Failure | undefined,
+/**
+ * The error for a request without an answer, with the outcome that follows from all its attempts.
+ */
+function finalError(
+  trailState: trail.Trail,
+  lastFailure: outcome.Failure | undefined,
   opts: Options,
 ): outcome.StepError {
-  const none = failure("no_endpoint", "route", "No endpoint can take the request now.");
-  const f = last ?? none;
-  const verdict = trail.verdict(at);
+  const noEndpoint = notRunFailure("no_endpoint", "route", "No endpoint can take the request now.");
+  const f = lastFailure ?? noEndpoint;
+  const verdict = trail.verdict(trailState);
   const wait = f.retryAfterMs ?? opts.retryAfterMs;
   return new outcome.StepError({
     ...f,
@@ -154,11 +177,12 @@
   });
 }
 
-function failure(code: outcome.Code, step: string, message: string): outcome.Failure {
+function notRunFailure(code: outcome.Code, step: string, message: string): outcome.Failure {
   return { code, outcome: "not_run", step, peer: "entry", message };
 }
 
-interface Chosen {
+/** The endpoint that an attempt is sent to. */
+interface Destination {
   readonly name: string;
   readonly address: string;
   readonly epoch: string;
@@ -169,7 +193,7 @@
   opts: Options,
   deps: Deps,
   tried: ReadonlySet<string>,
-): Chosen | undefined {
+): Destination | undefined {
   const key = keyOf(job.work);
   const candidates = deps.views.candidates(job.intent, job.target, key, tried);
   const best = route.choose(candidates, key, opts.failureDomain, opts.route, deps.random);
@@ -177,7 +201,8 @@
   return v?.news && { name: v.name, address: v.address, epoch: v.news.epoch };
 }
 
-type Sent =
+/** How an attempt went; `broke` means that it is unknown whether it ran. */
+type AttemptResult =
   | { readonly kind: "begun"; readonly begun: Begun }
   | { readonly kind: "refused"; readonly failure: outcome.Failure }
   | { readonly kind: "failed"; readonly failure: outcome.Failure }
@@ -185,12 +210,12 @@
 
 async function send(
   job: Job,
-  to: Chosen,
+  to: Destination,
   budgetMs: number,
   opts: Options,
   deps: Deps,
   attempts: number,
-): Promise<Sent> {
+): Promise<AttemptResult> {
   const attempt: wire.Attempt = {
     id: `${job.id}-${crypto.randomBytes(4).toString("hex")}`,
     epoch: to.epoch,
@@ -206,13 +231,13 @@
   const header = wire.encode(attempt);
   const signed = { method: "POST", path: wire.RUN_PATH, audience: to.name, covers: [header] };
   const abort = new AbortController();
-  const hangUp = (): void => {
+  const onDisconnect = (): void => {
     abort.abort();
   };
-  job.gone.addEventListener("abort", hangUp, { once: true });
+  job.gone.addEventListener("abort", onDisconnect, { once: true });
   deps.views.sent(to.name, abort);
-  const over = (good: boolean): void => {
-    job.gone.removeEventListener("abort", hangUp);
+  const endAttempt = (good: boolean): void => {
+    job.gone.removeEventListener("abort", onDisconnect);
     deps.views.done(to.name, abort, good || job.gone.aborted);
   };
   try {
@@ -228,83 +253,89 @@
       },
       body: job.body,
     });
-    hearNews(res, deps);
+    receiveNews(res, deps);
     if (res.headers[wire.HEADER.attempt] === attempt.id) {
       if (res.headers[wire.HEADER.outcome] === "ran") {
-        const alive = (): void => {
+        const recordBytes = (): void => {
           deps.views.alive(to.name);
         };
-        const begun = { endpoint: to.name, attempts, res, alive, done: over };
+        const begun = { endpoint: to.name, attempts, res, alive: recordBytes, done: endAttempt };
         return { kind: "begun", begun };
       }
     }
-    const refused = await readFailure(res, to);
-    // An endpoint that refuses works; one that fails or cannot say does not.
-    over(refused.outcome === "not_run");
-    switch (refused.outcome) {
+    const reported = await readFailure(res, to);
+    // A refusal shows that the endpoint works. A failure or an unknown outcome counts as a failure
+    // for its circuit breaker.
+    endAttempt(reported.outcome === "not_run");
+    switch (reported.outcome) {
       case "not_run":
-        return { kind: "refused", failure: refused };
+        return { kind: "refused", failure: reported };
       case "failed":
-        return { kind: "failed", failure: refused };
+        return { kind: "failed", failure: reported };
       case "unknown":
-        return { kind: "broke", failure: refused, attempt: attempt.id };
+        return { kind: "broke", failure: reported, attempt: attempt.id };
     }
   } catch (err) {
-    over(false);
+    endAttempt(false);
     const code = err instanceof Error && "code" in err ? String(err.code) : "";
     const f = outcome.toFailure(err, "send", to.name, "unknown");
-    if (UNCONNECTED.has(code)) return { kind: "refused", failure: { ...f, outcome: "not_run" } };
+    if (CONNECT_ERROR_CODES.has(code))
+      return { kind: "refused", failure: { ...f, outcome: "not_run" } };
     return { kind: "broke", failure: f, attempt: attempt.id };
   }
 }
 
-function hearNews(res: undici.Dispatcher.ResponseData, deps: Deps): void {
+function receiveNews(res: undici.Dispatcher.ResponseData, deps: Deps): void {
   try {
     deps.views.hear(wire.decode(wire.news, res.headers[wire.HEADER.news]));
   } catch (err) {
-    deps.log.debug(`An answer carried no news: ${errors.why(err)}`);
+    deps.log.debug(`An answer has no valid report of its endpoint's state: ${errors.why(err)}`);
   }
 }
 
 async function readFailure(
   res: undici.Dispatcher.ResponseData,
-  to: Chosen,
+  to: Destination,
 ): Promise<outcome.Failure> {
   const text = res.headers["content-type"] === JSON_TYPE ? await res.body.text() : "";
   if (text === "") await res.body.dump();
-  const told = outcome.fromBody(text);
-  if (told) return told;
+  const reported = outcome.fromBody(text);
+  if (reported) return reported;
   return {
     code: "link_broken",
     outcome: "unknown",
     step: "send",
     peer: to.name,
-    message: `The endpoint answered ${res.statusCode} in another form.`,
+    message: `The endpoint sent status ${res.statusCode} without a valid failure.`,
   };
 }
 
-/** Whether the endpoint of a broken attempt vouches that it did not and will not run. */
-async function provedNotRun(to: Chosen, attempt: string, deps: Deps): Promise<boolean> {
+/** Cancels a broken attempt; true when its endpoint confirms that it did not run and never will. */
+async function confirmNotRun(to: Destination, attempt: string, deps: Deps): Promise<boolean> {
   const m = deps.members.byName(to.name);
   if (!m) return false;
   try {
     const fate = await deps.peer(m).cancel.mutate({ attempt, epoch: to.epoch });
     return fate.kind === "not_run";
   } catch (err) {
-    deps.log.debug(`${to.name} did not tell the fate of an attempt: ${errors.why(err)}`);
+    deps.log.debug(`Cancelling a broken attempt at ${to.name} failed: ${errors.why(err)}`);
     return false;
   }
 }
 
-/** Retries allowed: a share of the requests, so that a failure does not multiply the load. */
-export function retryBudget(share: number, least: number, clk: clock.Clock) {
-  let bucket = budget.full(least, least, clk.steady());
+/**
+ * A retry budget: allows retries as a share of the admitted requests, and `minPerSecond` a second
+ * besides, so that a failure does not multiply the load.
+ */
+export function retryBudget(share: number, minPerSecond: number, clk: clock.Clock) {
+  let bucket = budget.full(minPerSecond, minPerSecond, clk.steady());
   return {
-    /** One request was let in; a share of it flows into the budget. */
+    /** Adds the share of one admitted request to the budget. */
     request: (): void => {
-      const at = budget.fill(bucket, clk.steady());
-      bucket = { ...at, tokens: Math.min(at.size * 2, at.tokens + share) };
+      const filled = budget.fill(bucket, clk.steady());
+      bucket = { ...filled, tokens: Math.min(filled.size * 2, filled.tokens + share) };
     },
+    /** Takes `cost` tokens; false when the budget holds fewer. */
     take: (cost: number): boolean => {
       const taken = budget.take(bucket, clk.steady(), cost);
       if (taken.ok) bucket = taken.bucket;
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' side of an entry daemon: the usual HTTP API of language-model services, and plain
- * services under a path of their own.
+ * The HTTP server for callers: the usual API of language-model services, and plain services below
+ * `/services/`.
  * @module
  */
 import * as crypto from "node:crypto";
@@ -22,16 +22,21 @@
 import * as ask from "./ask.js";
 import * as job from "./job.js";
 
+/** Settings of the callers' server. */
 export interface Options {
+  /** Name of this entry daemon. */
   readonly name: string;
+  /** Deadline of the first byte for requests that set none, in ms. */
   readonly deadlineMs: number;
+  /** Largest request for a model, in bytes. */
   readonly requestLimit: number;
-  /** Requests under way on this host at most; bounds its memory. */
+  /** Largest number of requests in flight on this host; bounds its memory. */
   readonly requests: number;
-  /** Milliseconds within which a caller must have sent its headers. */
+  /** Timeout for receiving the headers of a request, in ms. */
   readonly headersMs: number;
-  /** Milliseconds within which a caller must have sent a request for a model. */
+  /** Timeout for receiving a whole request, in ms. */
   readonly requestMs: number;
+  /** Milliseconds that a caller is told to wait before a retry when the host is full. */
   readonly retryAfterMs: number;
   readonly job: job.Options;
 }
@@ -41,41 +46,47 @@
   readonly log: log.Log;
   readonly metrics: metrics.Metrics;
   readonly intent: () => intents.Intent;
+  /** Whether the intent has been received. */
   readonly ready: () => boolean;
+  /** Whether this daemon is shutting down. */
   readonly leaving: () => boolean;
   readonly admission: admission.Admission;
   readonly claims: claims.Claims;
   readonly job: job.Deps;
-  /** One request is let in; feeds the budget of retries. */
+  /** Called for each admitted request; adds to the retry budget. */
   readonly letIn: () => void;
 }
 
 const MODEL_PATHS = new Set(["/v1/completions", "/v1/chat/completions"]);
 const SERVICE_PREFIX = "/services/";
-/** A body for a service up to this size is held, so that a refused attempt can go elsewhere. */
-const HELD_LIMIT = 65_536;
-const HEADER_BYTES = 16_384;
+/**
+ * Largest body for a plain service that is buffered, in bytes. Larger ones are streamed, so that a
+ * refused attempt with one can't be sent to another endpoint.
+ */
+const MAX_BUFFERED_BODY_BYTES = 65_536;
+/** Largest headers of a request, in bytes. */
+const MAX_HEADER_BYTES = 16_384;
 
-/** Makes the server; the caller listens and closes. */
+/** Creates the server; whoever calls this starts and closes it. */
 export function create(opts: Options, deps: Deps): http.Server {
-  let underWay = 0;
+  let inFlight = 0;
   const server = http.createServer(
     {
       headersTimeout: opts.headersMs,
       requestTimeout: opts.requestMs,
-      // The platform looks for slow callers every 30 s unless told otherwise.
+      // Node.js checks connections for timeouts every 30 s by default.
       connectionsCheckingInterval: Math.max(1, opts.headersMs / 2),
-      maxHeaderSize: HEADER_BYTES,
+      maxHeaderSize: MAX_HEADER_BYTES,
       requireHostHeader: true,
     },
     (req, res) => {
       if (deps.leaving()) res.setHeader("connection", "close");
-      underWay++;
+      inFlight++;
       res.on("close", () => {
-        underWay--;
+        inFlight--;
       });
-      handle(opts, deps, req, res, underWay).catch((err: unknown) => {
-        deps.log.error(`A request broke off: ${errors.why(err)}`);
+      handle(opts, deps, req, res, inFlight).catch((err: unknown) => {
+        deps.log.error(`Unexpected error while handling a request: ${errors.why(err)}`);
         res.destroy();
       });
     },
@@ -89,45 +100,52 @@
   deps: Deps,
   req: http.IncomingMessage,
   res: http.ServerResponse,
-  underWay: number,
+  inFlight: number,
 ): Promise<void> {
   const id = crypto.randomUUID();
   res.setHeader("x-request-id", id);
-  const url = targetOf(req.url ?? "/");
+  const url = splitTarget(req.url ?? "/");
   switch (url.pathname) {
     case "/healthz":
-      say(res, 200, { status: "ok" });
+      sendJson(res, 200, { status: "ok" });
       return;
     case "/readyz": {
       const ready = deps.ready() && !deps.leaving();
-      say(res, ready ? 200 : 503, { status: ready ? "ready" : "not ready" });
+      sendJson(res, ready ? 200 : 503, { status: ready ? "ready" : "not ready" });
       return;
     }
   }
   const peer = req.socket.remoteAddress ?? "gone";
   try {
-    const now = deps.intent();
-    const wishes = ask.wishes(req, opts.deadlineMs);
-    const caller = intents.callerOf(now, keys.sha256(wishes.key));
+    const intent = deps.intent();
+    const headers = ask.wishes(req, opts.deadlineMs);
+    const caller = intents.callerOf(intent, keys.sha256(headers.key));
     if (!caller)
-      throw outcome.notRun("unauthorized", "authenticate", peer, "The key is not known.");
-    if (underWay > opts.requests) {
+      throw outcome.notRun("unauthorized", "authenticate", peer, "The API key is unknown.");
+    if (inFlight > opts.requests) {
       throw outcome.notRun(
         "overloaded",
         "admit",
         opts.name,
-        "The host is full.",
+        "This host has reached its limit of requests in flight.",
         opts.retryAfterMs,
       );
     }
     if (url.pathname === "/v1/models" && req.method === "GET") {
-      say(res, 200, models(now, caller));
+      sendJson(res, 200, listModels(intent, caller));
       return;
     }
-    const asked: Asked = { id, peer, now, wishes, caller, url };
-    if (MODEL_PATHS.has(url.pathname)) await serveModel(opts, deps, asked, req, res);
+    const authenticated: AuthenticatedRequest = {
+      id,
+      peer,
+      intent,
+      headers,
+      caller,
+      url,
+    };
+    if (MODEL_PATHS.has(url.pathname)) await serveModel(opts, deps, authenticated, req, res);
     else if (url.pathname.startsWith(SERVICE_PREFIX))
-      await serveService(opts, deps, asked, req, res);
+      await serveService(opts, deps, authenticated, req, res);
     else throw outcome.notRun("not_found", "read", peer, `There is no ${url.pathname}.`);
   } catch (err) {
     if (!req.readableEnded) req.resume();
@@ -135,18 +153,18 @@
   }
 }
 
-function say(res: http.ServerResponse, status: number, what: object): void {
-  const text = JSON.stringify(what);
+function sendJson(res: http.ServerResponse, status: number, value: object): void {
+  const text = JSON.stringify(value);
   const size = Buffer.byteLength(text);
   res.writeHead(status, { "content-type": "application/json", "content-length": size });
   res.end(text);
 }
 
-/** The models a caller may use, in the shape of the language-model API. */
-function models(now: intents.Intent, caller: objects.Caller): object {
+/** The models that a caller may use, in the format of the language-model API. */
+function listModels(intent: intents.Intent, caller: objects.Caller): object {
   const data = intents
-    .list(now, "Adapter")
-    .filter((a) => intents.grantFor(now, caller, a))
+    .list(intent, "Adapter")
+    .filter((a) => intents.grantFor(intent, caller, a))
     .flatMap((a) => [
       { id: a.metadata.name, object: "model", parent: a.spec.baseModel },
       ...a.spec.versions.map((v) => ({
@@ -158,45 +176,49 @@
   return { object: "list", data };
 }
 
-/** What a request line asks for. */
-interface Target {
+/** The target of a request line. */
+interface RequestTarget {
   readonly pathname: string;
-  /** With its question mark; empty when there is none. */
+  /** The query with its question mark; empty when there is none. */
   readonly search: string;
 }
 
-/** Splits a request's target as it stands; a URL parser would refuse or rewrite some. */
-function targetOf(text: string): Target {
-  const at = text.indexOf("?");
-  if (at < 0) return { pathname: text, search: "" };
-  return { pathname: text.slice(0, at), search: text.slice(at) };
+/**
+ * Splits a request's target without normalising it; a URL parser would reject or rewrite some
+ * targets.
+ */
+function splitTarget(text: string): RequestTarget {
+  const queryStart = text.indexOf("?");
+  if (queryStart < 0) return { pathname: text, search: "" };
+  return { pathname: text.slice(0, queryStart), search: text.slice(queryStart) };
 }
 
-/** A request whose caller is known. */
-interface Asked {
+/** A request whose caller has been authenticated. */
+interface AuthenticatedRequest {
   readonly id: string;
   readonly peer: string;
-  readonly now: intents.Intent;
-  readonly wishes: ask.Wishes;
+  readonly intent: intents.Intent;
+  readonly headers: ask.Wishes;
   readonly caller: objects.Caller;
-  readonly url: Target;
+  readonly url: RequestTarget;
 }
 
 async function serveModel(
   opts: Options,
   deps: Deps,
-  a: Asked,
+  a: AuthenticatedRequest,
   req: http.IncomingMessage,
   res: http.ServerResponse,
 ): Promise<void> {
   if (req.method !== "POST") {
-    throw outcome.notRun("not_found", "read", a.peer, `${a.url.pathname} takes POST alone.`);
+    throw outcome.notRun("not_found", "read", a.peer, `${a.url.pathname} accepts only POST.`);
   }
   const text = await body.read(req, opts.requestLimit, a.peer);
   const generation = ask.generationOf(text);
-  const found = intents.resolve(a.now, generation.model);
-  const grant = found && intents.grantFor(a.now, a.caller, found.adapter);
-  // A caller without a grant is not told whether the adapter exists.
+  const found = intents.resolve(a.intent, generation.model);
+  const grant = found && intents.grantFor(a.intent, a.caller, found.adapter);
+  // Without a grant the answer is the same, so that a caller can't find out whether the adapter
+  // exists.
   if (!found || !grant) {
     const message = `There is no model ${generation.model} for this caller.`;
     throw outcome.notRun("not_found", "resolve", a.peer, message);
@@ -212,7 +234,7 @@
     grant,
     target: found.adapter,
     work,
-    repeatable: a.wishes.repeatable,
+    repeatable: a.headers.repeatable,
     headers: { "content-type": "application/json" },
     body: text,
   });
@@ -221,13 +243,13 @@
 async function serveService(
   opts: Options,
   deps: Deps,
-  a: Asked,
+  a: AuthenticatedRequest,
   req: http.IncomingMessage,
   res: http.ServerResponse,
 ): Promise<void> {
   const [name = "", ...rest] = a.url.pathname.slice(SERVICE_PREFIX.length).split("/");
-  const target = intents.find(a.now, "Service", name);
-  const grant = target && intents.grantFor(a.now, a.caller, target);
+  const target = intents.find(a.intent, "Service", name);
+  const grant = target && intents.grantFor(a.intent, a.caller, target);
   if (!target || !grant) {
     throw outcome.notRun(
       "not_found",
@@ -240,68 +262,74 @@
   const size = Number(
     req.headers["content-length"] ?? (req.headers["transfer-encoding"] ? Infinity : 0),
   );
-  const held = size <= HELD_LIMIT;
+  const isBuffered = size <= MAX_BUFFERED_BODY_BYTES;
   await serve(opts, deps, a, res, {
     grant,
     target,
     work: { kind: "service", service: name, method, path: `/${rest.join("/")}${a.url.search}` },
-    repeatable: a.wishes.repeatable && target.spec.repeatable.includes(method),
+    repeatable: a.headers.repeatable && target.spec.repeatable.includes(method),
     headers: service.passable(req.headers),
-    body: held ? await body.read(req, HELD_LIMIT, a.peer) : req,
+    body: isBuffered ? await body.read(req, MAX_BUFFERED_BODY_BYTES, a.peer) : req,
   });
 }
 
-interface Wanted extends Pick<job.Job, "target" | "work" | "repeatable" | "headers" | "body"> {
+/** What to run for an authenticated request, and the grant that allows it. */
+interface PreparedRequest extends Pick<
+  job.Job,
+  "target" | "work" | "repeatable" | "headers" | "body"
+> {
   readonly grant: objects.Grant;
 }
 
+/** Admits and runs a request, and forwards its answer to the caller. */
 async function serve(
   opts: Options,
   deps: Deps,
-  a: Asked,
+  a: AuthenticatedRequest,
   res: http.ServerResponse,
-  w: Wanted,
+  w: PreparedRequest,
 ): Promise<void> {
   const labels = { caller: a.caller.metadata.name, class: a.caller.spec.class };
-  const began = deps.clock.mono();
+  const startedAt = deps.clock.mono();
   deps.metrics.count("requests", labels);
-  const gone = new AbortController();
+  const disconnect = new AbortController();
   res.on("close", () => {
-    if (!res.writableFinished) gone.abort();
+    if (!res.writableFinished) disconnect.abort();
   });
-  let leave: (() => void) | undefined;
+  let release: (() => void) | undefined;
   let claim: claims.Claim | undefined;
   try {
-    leave = deps.admission.enter(w.grant, a.caller);
+    release = deps.admission.enter(w.grant, a.caller);
     deps.letIn();
-    const key = a.wishes.idempotencyKey;
+    const key = a.headers.idempotencyKey;
     if (key !== undefined) claim = await deps.claims.make(a.caller.metadata.name, key, a.id);
     const limits = w.grant.spec.limits;
     const begun = await job.run(
       {
         id: a.id,
-        intent: a.now,
+        intent: a.intent,
         target: w.target,
         work: w.work,
         caller: a.caller,
-        worth: ask.worthOf(a.wishes, limits.worth ?? 1),
+        worth: ask.worthOf(a.headers, limits.worth ?? 1),
         queue: limits.queue ?? Number.MAX_SAFE_INTEGER,
         repeatable: w.repeatable,
-        dueAt: began + a.wishes.deadlineMs,
+        dueAt: startedAt + a.headers.deadlineMs,
         headers: w.headers,
         body: w.body,
-        gone: gone.signal,
+        gone: disconnect.signal,
       },
       opts.job,
       deps.job,
     );
     if (begun.attempts > 1) deps.metrics.count("retries", labels);
     const streamed = w.work.kind === "model" && w.work.stream;
-    let last = began;
-    await pass(deps, w.work, begun, res, (at) => {
-      const name = last === began ? "first_token" : "between_tokens";
-      if (streamed || last === began) deps.metrics.observe(name, at - last, labels);
-      last = at;
+    let lastBytesAt = startedAt;
+    await forwardAnswer(deps, w.work, begun, res, (at) => {
+      const name = lastBytesAt === startedAt ? "first_token" : "between_tokens";
+      if (streamed || lastBytesAt === startedAt)
+        deps.metrics.observe(name, at - lastBytesAt, labels);
+      lastBytesAt = at;
     });
   } catch (err) {
     const f = outcome.toFailure(err, "serve", opts.name, "unknown");
@@ -309,27 +337,30 @@
     if (claim && f.outcome === "not_run") void deps.claims.release(claim);
     throw err;
   } finally {
-    leave?.();
+    release?.();
   }
 }
 
-/** Passes an answer on as it comes; one that breaks off is never ended as if whole. */
-async function pass(
+/**
+ * Forwards an answer as it arrives; the response to a broken one is never ended as if it was
+ * complete.
+ */
+async function forwardAnswer(
   deps: Deps,
   work: wire.Attempt["work"],
   begun: job.Begun,
   res: http.ServerResponse,
-  arrived: (at: number) => void,
+  onBytes: (at: number) => void,
 ): Promise<void> {
   const headers: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(begun.res.headers)) {
-    if (value === undefined || HIDDEN.has(name)) continue;
+    if (value === undefined || DROPPED_HEADERS.has(name)) continue;
     headers[name] = value;
   }
   res.writeHead(begun.res.statusCode, { ...headers, "sumacfield-attempts": begun.attempts });
   begun.res.body.on("data", () => {
     begun.alive();
-    arrived(deps.clock.mono());
+    onBytes(deps.clock.mono());
   });
   try {
     await pump.pump(begun.res.body, res);
@@ -337,7 +368,7 @@
     begun.done(true);
   } catch (err) {
     begun.done(false);
-    const message = `The answer broke off: ${errors.why(err)}.`;
+    const message = `The answer was interrupted: ${errors.why(err)}.`;
     const code = "link_broken";
     const f: outcome.Failure = {
       code,
@@ -347,7 +378,8 @@
       message,
     };
     if (work.kind === "model" && work.stream && !res.destroyed) {
-      // The error event goes out, but not the end of the body: no client takes this for the whole.
+      // Send the error event, but not the end of the body, so that no client takes the answer for
+      // complete.
       res.write(`data: ${JSON.stringify(outcome.toBody(f))}\n\n`, () => res.destroy());
       return;
     }
@@ -355,7 +387,8 @@
   }
 }
 
-const HIDDEN = new Set<string>([
+/** Headers of an endpoint's answer that are not forwarded to the caller. */
+const DROPPED_HEADERS = new Set<string>([
   wire.HEADER.attempt,
   wire.HEADER.news,
   wire.HEADER.outcome,
--- a/src/entry/view.ts
+++ b/src/entry/view.ts
@@ -1,32 +1,36 @@
 /**
- * What an entry daemon knows of the endpoints. It is late and has gaps, so each view says when it was
- * heard, and counts what this daemon has sent since.
+ * What an entry daemon knows of one endpoint. Reports arrive late and some are lost, so each view
+ * holds the time of its last report and counts what this daemon has sent since.
  * @module
  */
 import * as circuit from "../link/circuit.js";
 import type * as wire from "../link/wire.js";
 
-/** One endpoint as seen from here. */
+/** One endpoint as this entry daemon sees it. */
 export interface View {
   readonly name: string;
   readonly failureDomain: string;
-  /** `ip:port` of its daemon. */
+  /** `ip:port` of the endpoint daemon. */
   readonly address: string;
-  /** The platform's list says that it leaves. */
+  /** Whether the platform's list of hosts says that it is leaving. */
   readonly leaving: boolean;
+  /** Its last report; undefined before the first and after it stopped responding. */
   readonly news: wire.News | undefined;
-  /** Monotonic ms of the newest news. */
+  /** When the last report arrived, in monotonic ms. */
   readonly heardAt: number;
-  /** This daemon's attempts under way there, now and when the news was heard. */
+  /** Attempts of this entry daemon in flight there now. */
   readonly own: number;
+  /** Attempts of this entry daemon in flight there when the last report arrived. */
   readonly ownAtNews: number;
   readonly circuit: circuit.Circuit;
 }
 
-/** An endpoint of which nothing was heard yet. */
-export function unheard(at: Pick<View, "name" | "failureDomain" | "address" | "leaving">): View {
+/** The view of an endpoint that has sent no report yet. */
+export function unheard(
+  member: Pick<View, "name" | "failureDomain" | "address" | "leaving">,
+): View {
   return {
-    ...at,
+    ...member,
     news: undefined,
     heardAt: -Infinity,
     own: 0,
@@ -35,29 +39,38 @@
   };
 }
 
-/** The view after `news`; late news of the same life changes nothing. */
+/**
+ * The view after the report `news`; a report older than the last one of the same epoch changes
+ * nothing.
+ */
 export function hear(v: View, news: wire.News, now: number): View {
   if (v.news?.epoch === news.epoch && news.seq <= v.news.seq) return v;
   return { ...v, news, heardAt: now, ownAtNews: v.own };
 }
 
-/** Attempts there by the best guess: as last heard, and what was sent from here since. */
+/**
+ * Estimated number of attempts there: those in the last report, and those that this daemon has sent
+ * since.
+ */
 export function load(v: View): number {
   if (!v.news) return v.own;
   return v.news.running + v.news.waiting + Math.max(0, v.own - v.ownAtNews);
 }
 
-/** Why nothing should be sent there at `now`, in words; undefined when it may. */
+/** Why no attempt should be sent there at `now`, in words; undefined when one may be sent. */
 export function unusable(v: View, now: number): string | undefined {
   if (v.leaving) return "the list of hosts says it is leaving";
-  if (!v.news) return "nothing was heard of it yet";
+  if (!v.news) return "it has not reported its state";
   if (v.news.state === "draining") return "it is draining";
-  if (v.news.state === "learning") return "it does not know its engine's state yet";
-  if (!circuit.allows(v.circuit, now)) return "it failed lately";
+  if (v.news.state === "learning") return "it does not know the state of its engine yet";
+  if (!circuit.allows(v.circuit, now)) return "it failed recently";
   return undefined;
 }
 
-/** Whether `target` is loaded there, on its way, or neither, as last heard. */
+/**
+ * Whether `target` is loaded there, is loading or wanted (`coming`), or neither, by the last
+ * report.
+ */
 export function holding(v: View, target: string): "loaded" | "coming" | "absent" {
   if (v.news?.loaded.includes(target)) return "loaded";
   return v.news?.coming.includes(target) ? "coming" : "absent";
--- a/src/entry/views.ts
+++ b/src/entry/views.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints an entry daemon knows, kept up to date by the list of hosts, by news that rides on
- * answers, and by asking a few of them in turn.
+ * The views of all endpoints that an entry daemon knows. They are updated from the list of hosts,
+ * from reports in the headers of answers, and by polling a few endpoints at a time.
  * @module
  */
 import * as lru from "lru-cache";
@@ -18,16 +18,21 @@
 import type * as route from "./route.js";
 import * as view from "./view.js";
 
+/** Settings of polling, of the choice of candidates, and of circuit breakers. */
 export interface Options {
-  /** Endpoints asked for news in one turn; bounds what control costs, however many there are. */
+  /** Endpoints polled at a time; bounds the cost of polling however many endpoints there are. */
   readonly asked: number;
-  /** Milliseconds without a byte after which an endpoint with attempts under way is asked. */
+  /**
+   * Milliseconds without a byte from an endpoint with attempts in flight after which it is polled.
+   */
   readonly quietMs: number;
-  /** Questions without an answer, in a row, after which an endpoint counts as silent. */
+  /** Failed polls in a row after which an endpoint counts as not responding. */
   readonly misses: number;
-  /** Endpoints of the ring weighed for one request. */
+  /** Endpoints taken from the ring as candidates for one request. */
   readonly candidates: number;
-  /** Endpoints beyond the ring's that hold the adapter and are weighed too. */
+  /**
+   * Largest number of further candidates that hold the adapter but were not taken from the ring.
+   */
   readonly holders: number;
   readonly circuit: circuit.Options;
 }
@@ -39,94 +44,109 @@
   readonly peer: (m: hosts.Member) => control.Peer;
 }
 
-/** Rings kept; a placement's ring outlives changes that leave its endpoints alone. */
-const RINGS = 256;
+/**
+ * Largest number of cached rings; a change of the intent that keeps a placement's endpoints reuses
+ * its ring.
+ */
+const MAX_CACHED_RINGS = 256;
 
+/** Holds the view of each listed endpoint and the attempts in flight there. */
 export class Views {
   private readonly views = new Map<string, view.View>();
-  /** Endpoints that hold a target, by news. */
+  /** Names of the endpoints that hold each target, by their last reports. */
   private readonly holders = new Map<string, Set<string>>();
-  private readonly underWay = new Map<string, Set<AbortController>>();
-  private readonly missed = new Map<string, number>();
-  /** Monotonic ms at which bytes of an answer last came from an endpoint. */
-  private readonly lastBytes = new Map<string, number>();
-  private readonly rings = new lru.LRUCache<string, ring.Ring>({ max: RINGS });
-  private readonly ringOf = new WeakMap<readonly objects.Endpoint[], ring.Ring>();
-  private turn = 0;
+  /** Attempts in flight, by endpoint. */
+  private readonly inFlight = new Map<string, Set<AbortController>>();
+  /** Failed polls in a row, by endpoint. */
+  private readonly missedPolls = new Map<string, number>();
+  /** When bytes of an answer last arrived from each endpoint, in monotonic ms. */
+  private readonly lastBytesAt = new Map<string, number>();
+  /** Rings by the names and failure domains of their endpoints. */
+  private readonly ringCache = new lru.LRUCache<string, ring.Ring>({ max: MAX_CACHED_RINGS });
+  /** Rings by list of endpoints, which is the same object until the intent changes. */
+  private readonly ringByEndpoints = new WeakMap<readonly objects.Endpoint[], ring.Ring>();
+  /** Index of the member from which the rotation of polls goes on. */
+  private nextIndex = 0;
 
   constructor(
     private readonly opts: Options,
     private readonly deps: Deps,
   ) {
     deps.members.onChange(() => {
-      this.relist();
+      this.syncMembers();
     });
   }
 
-  private relist(): void {
+  /** Applies the list of hosts; an endpoint with a new address starts with an empty view. */
+  private syncMembers(): void {
     const listed = new Set<string>();
     for (const m of this.deps.members.all()) {
       if (m.role !== "endpoint") continue;
       listed.add(m.name);
       const { name, failureDomain, address, leaving } = m;
-      const known = this.views.get(name);
-      const at = { name, failureDomain, address, leaving };
-      const moved = known?.address !== address;
-      this.set(known && !moved ? { ...known, ...at } : view.unheard(at));
+      const existing = this.views.get(name);
+      const member = { name, failureDomain, address, leaving };
+      const addressChanged = existing?.address !== address;
+      this.set(existing && !addressChanged ? { ...existing, ...member } : view.unheard(member));
     }
     for (const name of [...this.views.keys()]) {
-      if (!listed.has(name)) this.drop(name);
+      if (!listed.has(name)) this.remove(name);
     }
   }
 
+  /** Stores a view and updates the index of holders. */
   private set(v: view.View): void {
-    const before = this.views.get(v.name)?.news;
+    const oldNews = this.views.get(v.name)?.news;
     this.views.set(v.name, v);
-    if (before === v.news) return;
-    for (const target of before?.loaded ?? []) this.holders.get(target)?.delete(v.name);
+    if (oldNews === v.news) return;
+    for (const target of oldNews?.loaded ?? []) this.holders.get(target)?.delete(v.name);
     for (const target of v.news?.loaded ?? []) {
       const set = this.holders.get(target);
       if (set) set.add(v.name);
       else this.holders.set(target, new Set([v.name]));
     }
-    for (const target of before?.loaded ?? []) {
+    for (const target of oldNews?.loaded ?? []) {
       if (this.holders.get(target)?.size === 0) this.holders.delete(target);
     }
   }
 
-  private drop(name: string): void {
+  private remove(name: string): void {
     const v = this.views.get(name);
     if (!v) return;
     this.set({ ...v, news: undefined });
     this.views.delete(name);
-    this.missed.delete(name);
-    this.lastBytes.delete(name);
+    this.missedPolls.delete(name);
+    this.lastBytesAt.delete(name);
   }
 
+  /** The view of an endpoint; undefined when it is not listed. */
   get(name: string): view.View | undefined {
     return this.views.get(name);
   }
 
-  /** News from an endpoint, by whatever way. */
+  /** Applies a report from an endpoint, whichever way it arrived. */
   hear(news: wire.News): void {
     const v = this.views.get(news.endpoint);
     if (v) this.set(view.hear(v, news, this.deps.clock.mono()));
   }
 
-  /** An attempt goes to `name`; `abort` is called when the endpoint falls silent. */
+  /**
+   * Records an attempt that is sent to `name`; `abort` is aborted when the endpoint stops
+   * responding.
+   */
   sent(name: string, abort: AbortController): void {
     const v = this.views.get(name);
     if (!v) return;
-    const set = this.underWay.get(name);
+    const set = this.inFlight.get(name);
     if (set) set.add(abort);
-    else this.underWay.set(name, new Set([abort]));
+    else this.inFlight.set(name, new Set([abort]));
     const now = this.deps.clock.mono();
     this.set({ ...v, own: v.own + 1, circuit: circuit.sent(v.circuit, now) });
   }
 
-  /** The attempt is over; `good` tells whether the endpoint did as it should. */
+  /** Records the end of an attempt; `good` tells whether the endpoint behaved correctly. */
   done(name: string, abort: AbortController, good: boolean): void {
-    this.underWay.get(name)?.delete(abort);
+    this.inFlight.get(name)?.delete(abort);
     const v = this.views.get(name);
     if (!v) return;
     const now = this.deps.clock.mono();
@@ -138,121 +158,131 @@
   }
 
   /**
-   * The endpoints that may serve `target` under the placements, best by the ring first, without those
-   * in `tried` and those unusable now.
+   * The endpoints that may serve `target` under its placements, in the order of the ring, without
+   * those in `tried` and those that are unusable now.
    */
   candidates(
-    now: intents.Intent,
+    intent: intents.Intent,
     target: objects.Adapter | objects.Of<"Service">,
     key: string,
     tried: ReadonlySet<string>,
   ): readonly route.Candidate[] {
-    const at = this.deps.clock.mono();
-    const out = new Map<string, route.Candidate>();
-    for (const p of intents.placementsOf(now, target)) {
-      const allowed = intents.endpointsOf(now, p, target);
+    const now = this.deps.clock.mono();
+    const found = new Map<string, route.Candidate>();
+    for (const p of intents.placementsOf(intent, target)) {
+      const allowed = intents.endpointsOf(intent, p, target);
       const domains = p.spec.spread?.failureDomains ?? 1;
-      const on = this.ring(now, allowed);
+      const endpointRing = this.ringFor(intent, allowed);
       const { candidates } = this.opts;
-      for (const [rank, place] of ring.successors(on, key, candidates, domains).entries()) {
-        this.consider(out, place.name, rank, at, tried);
+      for (const [rank, place] of ring
+        .successors(endpointRing, key, candidates, domains)
+        .entries()) {
+        this.addIfUsable(found, place.name, rank, now, tried);
       }
       let extra = 0;
       for (const name of this.holders.get(key) ?? []) {
-        if (out.has(name) || extra >= this.opts.holders) continue;
-        const e = intents.find(now, "Endpoint", name);
+        if (found.has(name) || extra >= this.opts.holders) continue;
+        const e = intents.find(intent, "Endpoint", name);
         if (!e || !allowed.includes(e)) continue;
         extra++;
-        this.consider(out, name, candidates, at, tried);
+        this.addIfUsable(found, name, candidates, now, tried);
       }
     }
-    return [...out.values()].filter(({ view: v }) => {
-      const e = intents.find(now, "Endpoint", v.name);
-      return e && !intents.drained(now, e);
+    return [...found.values()].filter(({ view: v }) => {
+      const e = intents.find(intent, "Endpoint", v.name);
+      return e && !intents.drained(intent, e);
     });
   }
 
-  private consider(
-    out: Map<string, route.Candidate>,
+  /**
+   * Adds an endpoint to `found` unless it is unknown, there already, tried, or unusable at `now`.
+   */
+  private addIfUsable(
+    found: Map<string, route.Candidate>,
     name: string,
     rank: number,
-    at: number,
+    now: number,
     tried: ReadonlySet<string>,
   ): void {
     const v = this.views.get(name);
-    if (!v || out.has(name) || tried.has(name) || view.unusable(v, at) !== undefined) return;
-    out.set(name, { view: v, rank });
+    if (!v || found.has(name) || tried.has(name) || view.unusable(v, now) !== undefined) return;
+    found.set(name, { view: v, rank });
   }
 
-  private ring(now: intents.Intent, allowed: readonly objects.Endpoint[]): ring.Ring {
-    const known = this.ringOf.get(allowed);
-    if (known) return known;
+  /** The hash ring of these endpoints, cached. */
+  private ringFor(intent: intents.Intent, allowed: readonly objects.Endpoint[]): ring.Ring {
+    const cached = this.ringByEndpoints.get(allowed);
+    if (cached) return cached;
     const places = allowed.map((e) => ({
       name: e.metadata.name,
-      failureDomain: intents.find(now, "Host", e.spec.host)?.spec.failureDomain ?? "",
+      failureDomain: intents.find(intent, "Host", e.spec.host)?.spec.failureDomain ?? "",
     }));
     const key = places.map((p) => `${p.name}/${p.failureDomain}`).join();
-    const made = this.rings.get(key) ?? ring.build(places);
-    this.rings.set(key, made);
-    this.ringOf.set(allowed, made);
-    return made;
+    const built = this.ringCache.get(key) ?? ring.build(places);
+    this.ringCache.set(key, built);
+    this.ringByEndpoints.set(allowed, built);
+    return built;
   }
 
-  /** Bytes of an answer came from `name`: it lives, and need not be asked. */
+  /** Records that bytes of an answer arrived from `name`, so it is alive and need not be polled. */
   alive(name: string): void {
-    this.lastBytes.set(name, this.deps.clock.mono());
-    this.missed.delete(name);
+    this.lastBytesAt.set(name, this.deps.clock.mono());
+    this.missedPolls.delete(name);
   }
 
-  /** Milliseconds since anything came from `name`. */
+  /** Milliseconds since a report or bytes of an answer last arrived from `name`. */
   private quietMs(name: string): number {
-    const heard = Math.max(this.lastBytes.get(name) ?? 0, this.views.get(name)?.heardAt ?? 0);
-    return this.deps.clock.mono() - heard;
+    const lastHeardAt = Math.max(
+      this.lastBytesAt.get(name) ?? 0,
+      this.views.get(name)?.heardAt ?? 0,
+    );
+    return this.deps.clock.mono() - lastHeardAt;
   }
 
   /**
-   * Asks a bounded number of endpoints how they are: first those that missed a question, then those
-   * with attempts under way that have been quiet longest, then the next few in turn.
+   * Polls a bounded number of endpoints for their state: first those that failed to answer a poll,
+   * then those with attempts in flight that have sent nothing for the longest time, then the next
+   * in rotation.
    */
   async ask(): Promise<void> {
     const all = this.deps.members.all().filter((m) => m.role === "endpoint");
-    const doubted = all.filter((m) => {
-      const misses = this.missed.get(m.name) ?? 0;
+    const unanswered = all.filter((m) => {
+      const misses = this.missedPolls.get(m.name) ?? 0;
       return misses > 0 && misses < this.opts.misses;
     });
     const quiet = all
-      .filter((m) => this.busy(m.name) && this.quietMs(m.name) >= this.opts.quietMs)
+      .filter((m) => this.hasInFlight(m.name) && this.quietMs(m.name) >= this.opts.quietMs)
       .sort((a, b) => this.quietMs(b.name) - this.quietMs(a.name));
-    const next = all
-      .map((_, i) => all[(this.turn + i) % all.length])
+    const rotation = all
+      .map((_, i) => all[(this.nextIndex + i) % all.length])
       .filter((m) => m !== undefined);
-    const chosen = [...new Set([...doubted, ...quiet, ...next])].slice(0, this.opts.asked);
-    this.turn += Math.max(1, chosen.length - doubted.length - quiet.length);
-    await Promise.all(chosen.map((m) => this.askOne(m)));
+    const chosen = [...new Set([...unanswered, ...quiet, ...rotation])].slice(0, this.opts.asked);
+    this.nextIndex += Math.max(1, chosen.length - unanswered.length - quiet.length);
+    await Promise.all(chosen.map((m) => this.pollOne(m)));
   }
 
-  private busy(name: string): boolean {
-    return (this.underWay.get(name)?.size ?? 0) > 0;
+  private hasInFlight(name: string): boolean {
+    return (this.inFlight.get(name)?.size ?? 0) > 0;
   }
 
-  private async askOne(m: hosts.Member): Promise<void> {
+  private async pollOne(m: hosts.Member): Promise<void> {
     try {
       const news = await this.deps.peer(m).news.query();
-      this.missed.delete(m.name);
+      this.missedPolls.delete(m.name);
       if (news) this.hear(news);
     } catch (err) {
-      const misses = (this.missed.get(m.name) ?? 0) + 1;
-      this.missed.set(m.name, misses);
-      if (misses >= this.opts.misses) this.silent(m.name, err);
+      const misses = (this.missedPolls.get(m.name) ?? 0) + 1;
+      this.missedPolls.set(m.name, misses);
+      if (misses >= this.opts.misses) this.markSilent(m.name, err);
     }
   }
 
-  /** An endpoint does not answer: its attempts are ended here, and no more are sent. */
-  private silent(name: string, err: unknown): void {
+  /** Marks an endpoint as not responding: aborts its attempts in flight; no more are sent there. */
+  private markSilent(name: string, err: unknown): void {
     const v = this.views.get(name);
     if (!v?.news) return;
     this.deps.log.warn(`${name} is silent: ${errors.why(err)}`);
     this.set({ ...v, news: undefined });
-    for (const abort of [...(this.underWay.get(name) ?? [])]) abort.abort();
+    for (const abort of [...(this.inFlight.get(name) ?? [])]) abort.abort();
   }
 }
--- a/test/doors.test.ts
+++ b/test/doors.test.ts
@@ -8,7 +8,7 @@
 const JSON_TYPE = "application/json";
 
 /** Sends raw bytes and reads until the other side ends or `ms` pass. */
-function raw(address: string, bytes: Buffer, ms = 300): Promise<string> {
+function sendRaw(address: string, bytes: Buffer, ms = 300): Promise<string> {
   const [host, port] = address.split(":");
   return new Promise((resolve) => {
     let out = "";
@@ -29,7 +29,7 @@
   });
   after(() => s.stop());
 
-  const sane = async (): Promise<void> => {
+  const expectHealthy = async (): Promise<void> => {
     expect((await s.ask("captions@1", { tokens: 1 })).status).equal(200);
   };
 
@@ -47,7 +47,7 @@
       }),
       { numRuns: 60 },
     );
-    await sane();
+    await expectHealthy();
   });
 
   it("answer any path and method", async () => {
@@ -60,7 +60,7 @@
       }),
       { numRuns: 60 },
     );
-    await sane();
+    await expectHealthy();
   });
 
   it("outlive any bytes", async () => {
@@ -68,11 +68,11 @@
     const link = s.endpoints[0]?.linkAddress ?? "";
     await fc.assert(
       fc.asyncProperty(fc.uint8Array({ maxLength: 300 }), fc.boolean(), async (bytes, callers) => {
-        await raw(callers ? at : link, Buffer.from(bytes), 20);
+        await sendRaw(callers ? at : link, Buffer.from(bytes), 20);
       }),
       { numRuns: 60 },
     );
-    await sane();
+    await expectHealthy();
   });
 
   it("refuse what is too large, told or not", async () => {
@@ -81,32 +81,32 @@
     const auth = `Authorization: Bearer ${site.callerKey("wattle")}`;
     const head = `POST /v1/completions HTTP/1.1\r\nHost: a\r\n${auth}\r\nTransfer-Encoding: chunked\r\n\r\n`;
     const chunk = `${(3000).toString(16)}\r\n${"x".repeat(3000)}\r\n`;
-    const out = await raw(s.entries[0]?.callersAddress ?? "", Buffer.from(head + chunk));
+    const out = await sendRaw(s.entries[0]?.callersAddress ?? "", Buffer.from(head + chunk));
     expect(out).include("413");
-    await sane();
+    await expectHealthy();
   });
 
   it("refuse headers that could smuggle another request", async () => {
     const at = s.entries[0]?.callersAddress ?? "";
     const both =
       "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    expect(await raw(at, Buffer.from(both))).match(/^HTTP\/1.1 400[^]*"outcome":"not_run"/);
+    expect(await sendRaw(at, Buffer.from(both))).match(/^HTTP\/1.1 400[^]*"outcome":"not_run"/);
     const twice =
       "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcd";
-    expect(await raw(at, Buffer.from(twice))).match(/^HTTP\/1.1 400[^]*"outcome":"not_run"/);
+    expect(await sendRaw(at, Buffer.from(twice))).match(/^HTTP\/1.1 400[^]*"outcome":"not_run"/);
     const key = `Authorization: Bearer ${site.callerKey("wattle")}\r\n`;
     const keys = `GET /v1/models HTTP/1.1\r\nHost: a\r\n${key}${key}\r\n`;
-    expect(await raw(at, Buffer.from(keys))).include("stands twice");
-    await sane();
+    expect(await sendRaw(at, Buffer.from(keys))).include("stands twice");
+    await expectHealthy();
   });
 
   it("do not wait for a caller that sends no headers", async () => {
     const at = s.entries[0]?.callersAddress ?? "";
     const slow = Buffer.from("POST /v1/completions HTTP/1.1\r\nHost: a\r\n");
     const began = performance.now();
-    expect(await raw(at, slow, 15_000)).include('"outcome":"not_run"');
+    expect(await sendRaw(at, slow, 15_000)).include('"outcome":"not_run"');
     expect(performance.now() - began).below(15_000);
-    await sane();
+    await expectHealthy();
   });
 
   it("tell no caller of another's key or content", async () => {
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -21,12 +21,12 @@
         v,
       ]),
     );
-    const at = await processes.daemon("endpoint", `engine-${i}`, {
+    const daemon = await processes.daemon("endpoint", `engine-${i}`, {
       ...env,
       SUMACFIELD_LOG_LEVEL: "info",
     });
-    daemons.push(at);
-    const address = at.addresses[0] ?? "";
+    daemons.push(daemon);
+    const address = daemon.addresses[0] ?? "";
     const name = `engine-${i}`;
     s.list.hosts.put({
       name,
@@ -50,14 +50,14 @@
 }
 
 /** The daemon whose engine runs something. */
-async function busy(
+async function runningDaemon(
   s: site.Site,
   daemons: readonly processes.Running[],
 ): Promise<processes.Running> {
-  const at = (): number =>
+  const engineIndex = (): number =>
     s.engines.findIndex((e) => e.engine.journal.some((j) => j.kind === "run"));
-  await site.until(() => at() >= 0);
-  const found = daemons[at()];
+  await site.until(() => engineIndex() >= 0);
+  const found = daemons[engineIndex()];
   if (!found) throw new Error("no daemon there");
   return found;
 }
@@ -75,7 +75,7 @@
 
   it("a killed endpoint daemon costs no repeatable request", async () => {
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p" });
-    (await busy(s, daemons)).signal("SIGKILL");
+    (await runningDaemon(s, daemons)).signal("SIGKILL");
     const a = await asked;
     expect(a.status, a.text).equal(200);
     expect(site.textOf(a).startsWith("captions@1:p:0 ")).equal(true);
@@ -83,7 +83,7 @@
 
   it("a frozen endpoint daemon costs no repeatable request", async () => {
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p" });
-    (await busy(s, daemons)).signal("SIGSTOP");
+    (await runningDaemon(s, daemons)).signal("SIGSTOP");
     const a = await asked;
     expect(a.status, a.text).equal(200);
   });
@@ -91,7 +91,7 @@
   it("a frozen endpoint daemon leaves a request not to be repeated unknown, and run once", async () => {
     const headers = { "sumacfield-repeat": "never" };
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p", headers });
-    const frozen = await busy(s, daemons);
+    const frozen = await runningDaemon(s, daemons);
     frozen.signal("SIGSTOP");
     const a = await asked;
     expect(site.errorOf(a).outcome).equal("unknown");
@@ -102,7 +102,7 @@
 
   it("a daemon that was told to stop ends by itself, and a second signal ends it at once", async () => {
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p", stream: true });
-    const leaving = await busy(s, daemons);
+    const leaving = await runningDaemon(s, daemons);
     const other = daemons.find((d) => d !== leaving);
     leaving.signal("SIGTERM");
     const a = await asked;
--- a/test/steps/requests.ts
+++ b/test/steps/requests.ts
@@ -5,41 +5,45 @@
 
 const { expect } = chai;
 
-function ask(
+function sendRequest(
   w: world.World,
   model: string,
-  more: Parameters<site.Site["ask"]>[1] & { readonly prompt: string },
+  opts: Parameters<site.Site["ask"]>[1] & { readonly prompt: string },
 ): void {
-  const n = w.asked.push(w.at.ask(model, more));
+  const n = w.asked.push(w.at.ask(model, opts));
   w.notes.set(`model of ${n}`, model);
-  w.notes.set(`prompt of ${n}`, more.prompt);
-  w.notes.set(`tokens of ${n}`, more.tokens);
+  w.notes.set(`prompt of ${n}`, opts.prompt);
+  w.notes.set(`tokens of ${n}`, opts.tokens);
 }
 
-const fresh = (w: world.World): string => `prompt ${w.asked.length}`;
+const nextPrompt = (w: world.World): string => `prompt ${w.asked.length}`;
 
 world.step("a caller asks {word} for {int} tokens", (w, model: string, tokens: number) => {
-  ask(w, model, { tokens, prompt: fresh(w) });
+  sendRequest(w, model, { tokens, prompt: nextPrompt(w) });
 });
 
 world.step(
   "a caller asks {word} for {int} tokens as a stream",
   (w, model: string, tokens: number) => {
-    ask(w, model, { tokens, prompt: fresh(w), stream: true });
+    sendRequest(w, model, { tokens, prompt: nextPrompt(w), stream: true });
   },
 );
 
 world.step(
   "a caller asks {word} for {int} tokens, not to be repeated",
   (w, model: string, tokens: number) => {
-    ask(w, model, { tokens, prompt: fresh(w), headers: { "sumacfield-repeat": "never" } });
+    sendRequest(w, model, {
+      tokens,
+      prompt: nextPrompt(w),
+      headers: { "sumacfield-repeat": "never" },
+    });
   },
 );
 
 world.step(
   "a caller asks {word} for {int} tokens within {int} s",
   (w, model: string, tokens: number, s: number) => {
-    ask(w, model, { tokens, prompt: fresh(w), headers: { prefer: `wait=${s}` } });
+    sendRequest(w, model, { tokens, prompt: nextPrompt(w), headers: { prefer: `wait=${s}` } });
   },
 );
 
@@ -47,7 +51,7 @@
   "a caller asks {word} for {int} tokens with the key {string} through entry host {int}",
   (w, model: string, tokens: number, key: string, at: number) => {
     const headers = { "idempotency-key": key };
-    ask(w, model, { tokens, prompt: fresh(w), headers, at: at - 1 });
+    sendRequest(w, model, { tokens, prompt: nextPrompt(w), headers, at: at - 1 });
   },
 );
 
@@ -55,7 +59,7 @@
   "{int} callers ask {word} for {int} tokens each",
   (w, n: number, model: string, tokens: number) => {
     for (let i = 0; i < n; i++)
-      ask(w, model, { tokens, prompt: fresh(w), at: i % w.at.entries.length });
+      sendRequest(w, model, { tokens, prompt: nextPrompt(w), at: i % w.at.entries.length });
   },
 );
 
@@ -71,11 +75,13 @@
   },
 );
 
-world.step("the engines run {int} request(s)", (w, n: number) => site.until(() => running(w) >= n));
+world.step("the engines run {int} request(s)", (w, n: number) =>
+  site.until(() => runningCount(w) >= n),
+);
 
-world.step("the engines are done", (w) => site.until(() => running(w) === 0));
+world.step("the engines are done", (w) => site.until(() => runningCount(w) === 0));
 
-function running(w: world.World): number {
+function runningCount(w: world.World): number {
   const journal = w.at.journal();
   const ran = journal.filter((e) => e.kind === "run").length;
   return ran - journal.filter((e) => e.kind === "finish").length;
@@ -169,7 +175,7 @@
 world.step(
   "a caller asks {word} for {int} tokens and goes away",
   async (w, model: string, tokens: number) => {
-    await w.at.askAndLeave(model, tokens, () => running(w) > 0);
+    await w.at.askAndLeave(model, tokens, () => runningCount(w) > 0);
   },
 );
 
--- a/test/steps/world.ts
+++ b/test/steps/world.ts
@@ -48,11 +48,11 @@
 
 /** Runs the one step that `text` means. */
 export async function perform(world: World, text: string): Promise<void> {
-  const found = steps.flatMap((s) => {
+  const matches = steps.flatMap((s) => {
     const args = s.expression.match(text);
     return args ? [{ run: s.run, args: args.map((a) => a.getValue<Arg>(world) ?? "") }] : [];
   });
-  const [only, another] = found;
-  if (!only || another) throw new Error(`${found.length} steps mean "${text}"`);
+  const [only, another] = matches;
+  if (!only || another) throw new Error(`${matches.length} steps mean "${text}"`);
   await only.run(world, ...(only.args as never[]));
 }
