--- a/test/doors.test.ts
+++ b/test/doors.test.ts
@@ -7,7 +7,7 @@
 
 const JSON_TYPE = "application/json";
 
-/** Sends raw bytes and reads until the other side ends or `ms` pass. */
+/** Sends raw bytes, and reads until the server closes the connection or `ms` have passed. */
 function sendRaw(address: string, bytes: Buffer, ms = 300): Promise<string> {
   const [host, port] = address.split(":");
   return new Promise((resolve) => {
@@ -22,18 +22,19 @@
   });
 }
 
-describe("doors", () => {
+describe("malformed requests: the HTTP servers", () => {
   let s: site.Site;
   before(async () => {
     s = await site.Site.start({ engines: 1, settings: { requestLimit: "2000", headersMs: "500" } });
   });
   after(() => s.stop());
 
+  /** Checks that the daemons still serve valid requests. */
   const expectHealthy = async (): Promise<void> => {
     expect((await s.ask("captions@1", { tokens: 1 })).status).equal(200);
   };
 
-  it("answer any body with an error of the usual shape", async () => {
+  it("answer any body with a complete error object", async () => {
     const body = fc.oneof(
       fc.json(),
       fc.string(),
@@ -63,21 +64,21 @@
     await expectHealthy();
   });
 
-  it("outlive any bytes", async () => {
-    const at = s.entries[0]?.callersAddress ?? "";
+  it("keep serving after arbitrary bytes", async () => {
+    const callersAddress = s.entries[0]?.callersAddress ?? "";
     const link = s.endpoints[0]?.linkAddress ?? "";
     await fc.assert(
       fc.asyncProperty(fc.uint8Array({ maxLength: 300 }), fc.boolean(), async (bytes, callers) => {
-        await sendRaw(callers ? at : link, Buffer.from(bytes), 20);
+        await sendRaw(callers ? callersAddress : link, Buffer.from(bytes), 20);
       }),
       { numRuns: 60 },
     );
     await expectHealthy();
   });
 
-  it("refuse what is too large, told or not", async () => {
-    const told = await s.call("POST", "/v1/completions", "x".repeat(3000));
-    expect(told.status).equal(413);
+  it("refuse bodies that are too large, with and without a Content-Length", async () => {
+    const withLength = await s.call("POST", "/v1/completions", "x".repeat(3000));
+    expect(withLength.status).equal(413);
     const auth = `Authorization: Bearer ${site.callerKey("wattle")}`;
     const head = `POST /v1/completions HTTP/1.1\r\nHost: a\r\n${auth}\r\nTransfer-Encoding: chunked\r\n\r\n`;
     const chunk = `${(3000).toString(16)}\r\n${"x".repeat(3000)}\r\n`;
@@ -87,29 +88,33 @@
   });
 
   it("refuse headers that could smuggle another request", async () => {
-    const at = s.entries[0]?.callersAddress ?? "";
+    const callersAddress = s.entries[0]?.callersAddress ?? "";
     const both =
       "POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    expect(await sendRaw(at, Buffer.from(both))).match(/^HTTP\/1.1 400[^]*"outcome":"not_run"/);
+    expect(await sendRaw(callersAddress, Buffer.from(both))).match(
+      /^HTTP\/1.1 400[^]*"outcome":"not_run"/,
+    );
     const twice =
       "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcd";
-    expect(await sendRaw(at, Buffer.from(twice))).match(/^HTTP\/1.1 400[^]*"outcome":"not_run"/);
+    expect(await sendRaw(callersAddress, Buffer.from(twice))).match(
+      /^HTTP\/1.1 400[^]*"outcome":"not_run"/,
+    );
     const key = `Authorization: Bearer ${site.callerKey("wattle")}\r\n`;
     const keys = `GET /v1/models HTTP/1.1\r\nHost: a\r\n${key}${key}\r\n`;
-    expect(await sendRaw(at, Buffer.from(keys))).include("stands twice");
+    expect(await sendRaw(callersAddress, Buffer.from(keys))).include("appears more than once");
     await expectHealthy();
   });
 
-  it("do not wait for a caller that sends no headers", async () => {
-    const at = s.entries[0]?.callersAddress ?? "";
+  it("do not wait for a caller that does not finish its headers", async () => {
+    const callersAddress = s.entries[0]?.callersAddress ?? "";
     const slow = Buffer.from("POST /v1/completions HTTP/1.1\r\nHost: a\r\n");
     const began = performance.now();
-    expect(await sendRaw(at, slow, 15_000)).include('"outcome":"not_run"');
+    expect(await sendRaw(callersAddress, slow, 15_000)).include('"outcome":"not_run"');
     expect(performance.now() - began).below(15_000);
     await expectHealthy();
   });
 
-  it("tell no caller of another's key or content", async () => {
+  it("do not reveal another caller's key or prompt", async () => {
     const a = await s.ask("captions@9", { by: "levant", prompt: "a secret of levant" });
     const b = await s.ask("captions@9", { by: "wattle" });
     for (const text of [a.text, b.text]) {
--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -3,27 +3,27 @@
 
 const { expect } = chai;
 
-describe("whole path", () => {
+describe("a request through the daemons", () => {
   let s: site.Site;
   before(async () => {
     s = await site.Site.start({ engines: 3, entries: 2, service: true });
   });
   after(() => s.stop());
 
-  it("answers on the adapter and version named", async () => {
+  it("runs on the requested adapter and version", async () => {
     const a = await s.ask("captions@2", { prompt: "hello", tokens: 2 });
     expect(a.status).equal(200);
     expect(site.textOf(a)).equal("captions@2:hello:0 captions@2:hello:1 ");
     expect((JSON.parse(a.text) as { model: string }).model).equal("captions@2");
   });
 
-  it("fixes the current version at acceptance", async () => {
+  it("resolves a name without a version when the request is accepted", async () => {
     const a = await s.ask("captions", { prompt: "p", tokens: 1, at: 1 });
     expect(site.textOf(a)).equal("captions@1:p:0 ");
     expect(a.headers["sumacfield-model"]).equal("captions@1");
   });
 
-  it("streams to the end mark", async () => {
+  it("streams up to the [DONE] event", async () => {
     const a = await s.ask("notes", { prompt: "p", tokens: 3, stream: true });
     expect(a.headers["content-type"]).equal("text/event-stream");
     expect(a.broken).equal(false);
@@ -31,7 +31,7 @@
     expect(a.text.endsWith("data: [DONE]\n\n")).equal(true);
   });
 
-  it("passes a call to a plain service", async () => {
+  it("forwards a call to a plain service", async () => {
     const a = await s.call("POST", "/services/cutover/confirm?n=7", "number 7");
     expect(a.status).equal(200);
     expect(s.services?.service.ran.at(-1)).eql({
@@ -41,13 +41,13 @@
     });
   });
 
-  it("refuses a key it does not know", async () => {
+  it("refuses an unknown API key", async () => {
     const a = await s.ask("captions", { by: "stranger" });
     expect(a.status).equal(401);
     expect(site.errorOf(a)).include({ code: "unauthorized", outcome: "not_run" });
   });
 
-  it("refuses a model it does not have", async () => {
+  it("refuses an unknown version of a model", async () => {
     const a = await s.ask("captions@9");
     expect(a.status).equal(404);
     expect(site.errorOf(a)).include({ code: "not_found", outcome: "not_run" });
@@ -60,7 +60,7 @@
   });
 });
 
-describe("an engine that does not tell when it started", () => {
+describe("an engine that does not report its start time", () => {
   let s: site.Site;
   before(async () => {
     s = await site.Site.start({ engines: 1, entries: 1 });
@@ -68,7 +68,7 @@
   });
   after(() => s.stop());
 
-  it("keeps what is in use through many looks, and answers each request", async () => {
+  it("keeps adapters in use over many polls, and answers each request", async () => {
     const names = ["captions@1", "captions@2", "notes", "captions@1", "captions@2", "notes"];
     const answers = await Promise.all(
       names.map((name) => s.ask(name, { prompt: "p", tokens: 40, stream: true })),
@@ -78,7 +78,7 @@
     expect(s.journal().filter((e) => e.kind === "evicted-in-use")).deep.equal([]);
   });
 
-  it("is seen to come back cold by what it lists", async () => {
+  it("is recognised as restarted by its list of adapters", async () => {
     for (const e of s.engines) e.engine.restart();
     const a = await s.ask("captions@2", { prompt: "p", tokens: 2 });
     expect(a.status).equal(200);
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -7,7 +7,7 @@
 
 const { expect } = chai;
 
-/** A site whose endpoint daemons are processes of their own, so that they can be killed and frozen. */
+/** Starts a site whose endpoint daemons are separate processes, which can be killed and frozen. */
 async function start(): Promise<{ readonly s: site.Site; readonly daemons: processes.Running[] }> {
   const s = await site.Site.start({ engines: 0, objects: objects() });
   const daemons: processes.Running[] = [];
@@ -49,7 +49,7 @@
   ]);
 }
 
-/** The daemon whose engine runs something. */
+/** Waits until an engine has run a request, and returns the daemon of that engine. */
 async function runningDaemon(
   s: site.Site,
   daemons: readonly processes.Running[],
@@ -58,11 +58,11 @@
     s.engines.findIndex((e) => e.engine.journal.some((j) => j.kind === "run"));
   await site.until(() => engineIndex() >= 0);
   const found = daemons[engineIndex()];
-  if (!found) throw new Error("no daemon there");
+  if (!found) throw new Error("no daemon belongs to the engine that runs the request");
   return found;
 }
 
-describe("processes", () => {
+describe("daemon processes", () => {
   let s: site.Site;
   let daemons: readonly processes.Running[];
   beforeEach(async () => {
@@ -88,7 +88,7 @@
     expect(a.status, a.text).equal(200);
   });
 
-  it("a frozen endpoint daemon leaves a request not to be repeated unknown, and run once", async () => {
+  it("a request not to be repeated at a frozen endpoint daemon ends as unknown, and runs once", async () => {
     const headers = { "sumacfield-repeat": "never" };
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p", headers });
     const frozen = await runningDaemon(s, daemons);
@@ -115,21 +115,31 @@
   });
 });
 
-describe("control", () => {
-  it("takes no order without the cluster's key", async () => {
+describe("control calls", () => {
+  it("are refused unless signed with the cluster's key", async () => {
     const s = await site.Site.start({ engines: 1 });
     try {
-      const at = s.endpoints[0]?.linkAddress ?? "";
-      const stranger = control.connect(at, "engine-0", ["another-key-00001"], clock.system, 500, {
-        bytes: 0,
-      });
+      const linkAddress = s.endpoints[0]?.linkAddress ?? "";
+      const stranger = control.connect(
+        linkAddress,
+        "engine-0",
+        ["another-key-00001"],
+        clock.system,
+        500,
+        {
+          bytes: 0,
+        },
+      );
       const epoch = s.endpoints[0]?.parts.epoch ?? "";
       const refused: unknown = await stranger.cancel
         .mutate({ attempt: "a", epoch })
         .catch((err: unknown) => err);
       expect(String(refused)).include("signed with another key");
       for (const path of ["/run", "/control/news", "/control/learn", "/other"]) {
-        const res = await undici.request(`http://${at}${path}`, { method: "POST", body: "{}" });
+        const res = await undici.request(`http://${linkAddress}${path}`, {
+          method: "POST",
+          body: "{}",
+        });
         await res.body.dump();
         expect(res.statusCode, path).equal(401);
       }
--- a/test/steps/given.ts
+++ b/test/steps/given.ts
@@ -1,4 +1,4 @@
-/** Steps that start a site. */
+/** Steps that start a site with the given settings. */
 import * as site from "../../bench/site.js";
 import * as world from "./world.js";
 
--- a/test/steps/requests.ts
+++ b/test/steps/requests.ts
@@ -1,10 +1,11 @@
-/** Steps of callers, and of what they got. */
+/** Steps in which callers send requests, and steps that check the answers. */
 import * as chai from "chai";
 import * as site from "../../bench/site.js";
 import * as world from "./world.js";
 
 const { expect } = chai;
 
+/** Sends a request for `model`, and notes what its answer must contain. */
 function sendRequest(
   w: world.World,
   model: string,
@@ -16,6 +17,7 @@
   w.notes.set(`tokens of ${n}`, opts.tokens);
 }
 
+/** A prompt unlike those of the scenario's earlier requests. */
 const nextPrompt = (w: world.World): string => `prompt ${w.asked.length}`;
 
 world.step("a caller asks {word} for {int} tokens", (w, model: string, tokens: number) => {
@@ -49,9 +51,9 @@
 
 world.step(
   "a caller asks {word} for {int} tokens with the key {string} through entry host {int}",
-  (w, model: string, tokens: number, key: string, at: number) => {
+  (w, model: string, tokens: number, key: string, entryHost: number) => {
     const headers = { "idempotency-key": key };
-    sendRequest(w, model, { tokens, prompt: nextPrompt(w), headers, at: at - 1 });
+    sendRequest(w, model, { tokens, prompt: nextPrompt(w), headers, at: entryHost - 1 });
   },
 );
 
@@ -63,15 +65,17 @@
   },
 );
 
-world.step("a caller confirms cutover {string}", (w, what: string) => {
-  w.asked.push(w.at.call("POST", "/services/cutover/confirm", what));
+world.step("a caller confirms cutover {string}", (w, cutover: string) => {
+  w.asked.push(w.at.call("POST", "/services/cutover/confirm", cutover));
 });
 
 world.step(
   "a caller confirms cutover {string} with the key {string} through entry host {int}",
-  (w, what: string, key: string, at: number) => {
+  (w, cutover: string, key: string, entryHost: number) => {
     const headers = { "idempotency-key": key };
-    w.asked.push(w.at.call("POST", "/services/cutover/confirm", what, { headers, at: at - 1 }));
+    w.asked.push(
+      w.at.call("POST", "/services/cutover/confirm", cutover, { headers, at: entryHost - 1 }),
+    );
   },
 );
 
@@ -81,6 +85,7 @@
 
 world.step("the engines are done", (w) => site.until(() => runningCount(w) === 0));
 
+/** Number of requests that the engines have begun and not finished. */
 function runningCount(w: world.World): number {
   const journal = w.at.journal();
   const ran = journal.filter((e) => e.kind === "run").length;
@@ -119,13 +124,13 @@
 
 world.step(
   "the caller is told {word}, with the code {word}",
-  async (w, told: string, code: string) => {
-    expect(site.errorOf(await w.last())).include({ outcome: told, code });
+  async (w, expectedOutcome: string, code: string) => {
+    expect(site.errorOf(await w.last())).include({ outcome: expectedOutcome, code });
   },
 );
 
-world.step("the caller is told {word}", async (w, told: string) => {
-  expect(site.errorOf(await w.last()).outcome).equal(told);
+world.step("the caller is told {word}", async (w, expectedOutcome: string) => {
+  expect(site.errorOf(await w.last()).outcome).equal(expectedOutcome);
 });
 
 world.step("the caller is told when to come back", async (w) => {
@@ -164,8 +169,8 @@
   expect(w.at.journal().filter((e) => e.kind === "run")).length(n);
 });
 
-world.step("the service ran {string} {int} time(s)", (w, what: string, n: number) => {
-  expect(w.at.services?.service.ran.filter((r) => r.body === what)).length(n);
+world.step("the service ran {string} {int} time(s)", (w, body: string, n: number) => {
+  expect(w.at.services?.service.ran.filter((r) => r.body === body)).length(n);
 });
 
 world.step("no adapter was evicted in use", (w) => {
@@ -207,8 +212,8 @@
 
 world.step(
   "the service ran {string} {int} time(s) after the answer",
-  async (w, what: string, n: number) => {
+  async (w, body: string, n: number) => {
     expect((await w.last()).status).equal(200);
-    expect(w.at.services?.service.ran.filter((r) => r.body === what)).length(n);
+    expect(w.at.services?.service.ran.filter((r) => r.body === body)).length(n);
   },
 );
--- a/test/steps/world.ts
+++ b/test/steps/world.ts
@@ -1,30 +1,34 @@
 /**
- * What the steps of one scenario share, and how a step is written down.
+ * The state that the steps of one scenario share, and the registry of steps.
  * @module
  */
 import * as expressions from "@cucumber/cucumber-expressions";
 import * as site from "../../bench/site.js";
 
-/** One scenario's site, and what its callers have got. */
+/** The site of one scenario, its callers' answers, and values that steps leave for later ones. */
 export class World {
+  /** The scenario's site; undefined until a step starts it. */
   site: site.Site | undefined;
-  /** Answers in the order they were asked for, once they are there. */
+  /** The answers of all requests, in the order in which these were sent. */
   readonly asked: Promise<site.Answer>[] = [];
+  /** Values that one step records for another, by name. */
   readonly notes = new Map<string, unknown>();
 
-  /** The site; a scenario begins by starting one. */
+  /** The scenario's site; throws when no step has started one. */
   get at(): site.Site {
-    if (!this.site) throw new Error("the scenario has no site yet");
+    if (!this.site) throw new Error("no step of the scenario has started a site");
     return this.site;
   }
 
+  /** Waits for all answers. */
   answers(): Promise<readonly site.Answer[]> {
     return Promise.all(this.asked);
   }
 
+  /** Waits for the answer of the last request. */
   async last(): Promise<site.Answer> {
     const answer = await this.asked.at(-1);
-    if (!answer) throw new Error("nothing was asked yet");
+    if (!answer) throw new Error("no request has been sent");
     return answer;
   }
 }
@@ -33,26 +37,26 @@
 
 interface Step {
   readonly expression: expressions.CucumberExpression;
-  /** Each step names its own arguments' types. */
+  /** `never`, as each step declares the types of its own arguments. */
   readonly run: (world: World, ...args: never[]) => Promise<void> | void;
 }
 
 const registry = new expressions.ParameterTypeRegistry();
 const steps: Step[] = [];
 
-/** Writes down a step; the expression's parameters become the arguments of `run`. */
+/** Registers a step; the parameters of the expression become the arguments of `run`. */
 export function step(text: string, run: Step["run"]): void {
   const expression = new expressions.CucumberExpression(text, registry);
   steps.push({ expression, run });
 }
 
-/** Runs the one step that `text` means. */
+/** Runs the step that matches `text`; throws unless exactly one does. */
 export async function perform(world: World, text: string): Promise<void> {
   const matches = steps.flatMap((s) => {
     const args = s.expression.match(text);
     return args ? [{ run: s.run, args: args.map((a) => a.getValue<Arg>(world) ?? "") }] : [];
   });
   const [only, another] = matches;
-  if (!only || another) throw new Error(`${matches.length} steps mean "${text}"`);
+  if (!only || another) throw new Error(`${matches.length} steps match "${text}"`);
   await only.run(world, ...(only.args as never[]));
 }
