--- a/src/entry/job.ts
+++ b/src/entry/job.ts
@@ -253,7 +253,7 @@
       },
       body: job.body,
     });
-    receiveNews(res, deps);
+    receiveReport(res, deps);
     if (res.headers[wire.HEADER.attempt] === attempt.id) {
       if (res.headers[wire.HEADER.outcome] === "ran") {
         const recordBytes = (): void => {
@@ -285,7 +285,7 @@
   }
 }
 
-function receiveNews(res: undici.Dispatcher.ResponseData, deps: Deps): void {
+function receiveReport(res: undici.Dispatcher.ResponseData, deps: Deps): void {
   try {
     deps.views.hear(wire.decode(wire.news, res.headers[wire.HEADER.news]));
   } catch (err) {
--- a/src/entry/views.ts
+++ b/src/entry/views.ts
@@ -96,16 +96,16 @@
 
   /** Stores a view and updates the index of holders. */
   private set(v: view.View): void {
-    const oldNews = this.views.get(v.name)?.news;
+    const oldReport = this.views.get(v.name)?.news;
     this.views.set(v.name, v);
-    if (oldNews === v.news) return;
-    for (const target of oldNews?.loaded ?? []) this.holders.get(target)?.delete(v.name);
+    if (oldReport === v.news) return;
+    for (const target of oldReport?.loaded ?? []) this.holders.get(target)?.delete(v.name);
     for (const target of v.news?.loaded ?? []) {
       const set = this.holders.get(target);
       if (set) set.add(v.name);
       else this.holders.set(target, new Set([v.name]));
     }
-    for (const target of oldNews?.loaded ?? []) {
+    for (const target of oldReport?.loaded ?? []) {
       if (this.holders.get(target)?.size === 0) this.holders.delete(target);
     }
   }
