--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -7,7 +7,7 @@
 
 const { expect } = chai;
 
-/** A site whose endpoint daemons are processes of their own, so that they can be killed and frozen. */
+/** Starts a site whose endpoint daemons are separate processes, which can be killed and frozen. */
 async function start(): Promise<{ readonly s: site.Site; readonly daemons: processes.Running[] }> {
   const s = await site.Site.start({ engines: 0, objects: objects() });
   const daemons: processes.Running[] = [];
@@ -21,12 +21,12 @@
         v,
       ]),
     );
-    const at = await processes.daemon("endpoint", `engine-${i}`, {
+    const daemon = await processes.daemon("endpoint", `engine-${i}`, {
       ...env,
       SUMACFIELD_LOG_LEVEL: "info",
     });
-    daemons.push(at);
-    const address = at.addresses[0] ?? "";
+    daemons.push(daemon);
+    const address = daemon.addresses[0] ?? "";
     const name = `engine-${i}`;
     s.list.hosts.put({
       name,
@@ -49,20 +49,20 @@
   ]);
 }
 
-/** The daemon whose engine runs something. */
-async function busy(
+/** Waits until an engine has run a request, and returns the daemon of that engine. */
+async function runningDaemon(
   s: site.Site,
   daemons: readonly processes.Running[],
 ): Promise<processes.Running> {
-  const at = (): number =>
+  const engineIndex = (): number =>
     s.engines.findIndex((e) => e.engine.journal.some((j) => j.kind === "run"));
-  await site.until(() => at() >= 0);
-  const found = daemons[at()];
-  if (!found) throw new Error("no daemon there");
+  await site.until(() => engineIndex() >= 0);
+  const found = daemons[engineIndex()];
+  if (!found) throw new Error("no daemon belongs to the engine that runs the request");
   return found;
 }
 
-describe("processes", () => {
+describe("daemon processes", () => {
   let s: site.Site;
   let daemons: readonly processes.Running[];
   beforeEach(async () => {
@@ -75,7 +75,7 @@
 
   it("a killed endpoint daemon costs no repeatable request", async () => {
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p" });
-    (await busy(s, daemons)).signal("SIGKILL");
+    (await runningDaemon(s, daemons)).signal("SIGKILL");
     const a = await asked;
     expect(a.status, a.text).equal(200);
     expect(site.textOf(a).startsWith("captions@1:p:0 ")).equal(true);
@@ -83,15 +83,15 @@
 
   it("a frozen endpoint daemon costs no repeatable request", async () => {
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p" });
-    (await busy(s, daemons)).signal("SIGSTOP");
+    (await runningDaemon(s, daemons)).signal("SIGSTOP");
     const a = await asked;
     expect(a.status, a.text).equal(200);
   });
 
-  it("a frozen endpoint daemon leaves a request not to be repeated unknown, and run once", async () => {
+  it("a request not to be repeated at a frozen endpoint daemon ends as unknown, and runs once", async () => {
     const headers = { "sumacfield-repeat": "never" };
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p", headers });
-    const frozen = await busy(s, daemons);
+    const frozen = await runningDaemon(s, daemons);
     frozen.signal("SIGSTOP");
     const a = await asked;
     expect(site.errorOf(a).outcome).equal("unknown");
@@ -102,7 +102,7 @@
 
   it("a daemon that was told to stop ends by itself, and a second signal ends it at once", async () => {
     const asked = s.ask("captions@1", { tokens: 300, prompt: "p", stream: true });
-    const leaving = await busy(s, daemons);
+    const leaving = await runningDaemon(s, daemons);
     const other = daemons.find((d) => d !== leaving);
     leaving.signal("SIGTERM");
     const a = await asked;
@@ -115,21 +115,31 @@
   });
 });
 
-describe("control", () => {
-  it("takes no order without the cluster's key", async () => {
+describe("control calls", () => {
+  it("are refused unless signed with the cluster's key", async () => {
     const s = await site.Site.start({ engines: 1 });
     try {
-      const at = s.endpoints[0]?.linkAddress ?? "";
-      const stranger = control.connect(at, "engine-0", ["another-key-00001"], clock.system, 500, {
-        bytes: 0,
-      });
+      const linkAddress = s.endpoints[0]?.linkAddress ?? "";
+      const stranger = control.connect(
+        linkAddress,
+        "engine-0",
+        ["another-key-00001"],
+        clock.system,
+        500,
+        {
+          bytes: 0,
+        },
+      );
       const epoch = s.endpoints[0]?.parts.epoch ?? "";
       const refused: unknown = await stranger.cancel
         .mutate({ attempt: "a", epoch })
         .catch((err: unknown) => err);
       expect(String(refused)).include("signed with another key");
       for (const path of ["/run", "/control/news", "/control/learn", "/other"]) {
-        const res = await undici.request(`http://${at}${path}`, { method: "POST", body: "{}" });
+        const res = await undici.request(`http://${linkAddress}${path}`, {
+          method: "POST",
+          body: "{}",
+        });
         await res.body.dump();
         expect(res.statusCode, path).equal(401);
       }
--- a/test/steps/requests.ts
+++ b/test/steps/requests.ts
@@ -1,53 +1,59 @@
-/** Steps of callers, and of what they got. */
+/** Steps in which callers send requests, and steps that check the answers. */
 import * as chai from "chai";
 import * as site from "../../bench/site.js";
 import * as world from "./world.js";
 
 const { expect } = chai;
 
-function ask(
+/** Sends a request for `model`, and notes what its answer must contain. */
+function sendRequest(
   w: world.World,
   model: string,
-  more: Parameters<site.Site["ask"]>[1] & { readonly prompt: string },
+  opts: Parameters<site.Site["ask"]>[1] & { readonly prompt: string },
 ): void {
-  const n = w.asked.push(w.at.ask(model, more));
+  const n = w.asked.push(w.at.ask(model, opts));
   w.notes.set(`model of ${n}`, model);
-  w.notes.set(`prompt of ${n}`, more.prompt);
-  w.notes.set(`tokens of ${n}`, more.tokens);
+  w.notes.set(`prompt of ${n}`, opts.prompt);
+  w.notes.set(`tokens of ${n}`, opts.tokens);
 }
 
-const fresh = (w: world.World): string => `prompt ${w.asked.length}`;
+/** A prompt unlike those of the scenario's earlier requests. */
+const nextPrompt = (w: world.World): string => `prompt ${w.asked.length}`;
 
 world.step("a caller asks {word} for {int} tokens", (w, model: string, tokens: number) => {
-  ask(w, model, { tokens, prompt: fresh(w) });
+  sendRequest(w, model, { tokens, prompt: nextPrompt(w) });
 });
 
 world.step(
   "a caller asks {word} for {int} tokens as a stream",
   (w, model: string, tokens: number) => {
-    ask(w, model, { tokens, prompt: fresh(w), stream: true });
+    sendRequest(w, model, { tokens, prompt: nextPrompt(w), stream: true });
   },
 );
 
 world.step(
   "a caller asks {word} for {int} tokens, not to be repeated",
   (w, model: string, tokens: number) => {
-    ask(w, model, { tokens, prompt: fresh(w), headers: { "sumacfield-repeat": "never" } });
+    sendRequest(w, model, {
+      tokens,
+      prompt: nextPrompt(w),
+      headers: { "sumacfield-repeat": "never" },
+    });
   },
 );
 
 world.step(
   "a caller asks {word} for {int} tokens within {int} s",
   (w, model: string, tokens: number, s: number) => {
-    ask(w, model, { tokens, prompt: fresh(w), headers: { prefer: `wait=${s}` } });
+    sendRequest(w, model, { tokens, prompt: nextPrompt(w), headers: { prefer: `wait=${s}` } });
   },
 );
 
 world.step(
   "a caller asks {word} for {int} tokens with the key {string} through entry host {int}",
-  (w, model: string, tokens: number, key: string, at: number) => {
+  (w, model: string, tokens: number, key: string, entryHost: number) => {
     const headers = { "idempotency-key": key };
-    ask(w, model, { tokens, prompt: fresh(w), headers, at: at - 1 });
+    sendRequest(w, model, { tokens, prompt: nextPrompt(w), headers, at: entryHost - 1 });
   },
 );
 
@@ -55,27 +61,32 @@
   "{int} callers ask {word} for {int} tokens each",
   (w, n: number, model: string, tokens: number) => {
     for (let i = 0; i < n; i++)
-      ask(w, model, { tokens, prompt: fresh(w), at: i % w.at.entries.length });
+      sendRequest(w, model, { tokens, prompt: nextPrompt(w), at: i % w.at.entries.length });
   },
 );
 
-world.step("a caller confirms cutover {string}", (w, what: string) => {
-  w.asked.push(w.at.call("POST", "/services/cutover/confirm", what));
+world.step("a caller confirms cutover {string}", (w, cutover: string) => {
+  w.asked.push(w.at.call("POST", "/services/cutover/confirm", cutover));
 });
 
 world.step(
   "a caller confirms cutover {string} with the key {string} through entry host {int}",
-  (w, what: string, key: string, at: number) => {
+  (w, cutover: string, key: string, entryHost: number) => {
     const headers = { "idempotency-key": key };
-    w.asked.push(w.at.call("POST", "/services/cutover/confirm", what, { headers, at: at - 1 }));
+    w.asked.push(
+      w.at.call("POST", "/services/cutover/confirm", cutover, { headers, at: entryHost - 1 }),
+    );
   },
 );
 
-world.step("the engines run {int} request(s)", (w, n: number) => site.until(() => running(w) >= n));
+world.step("the engines run {int} request(s)", (w, n: number) =>
+  site.until(() => runningCount(w) >= n),
+);
 
-world.step("the engines are done", (w) => site.until(() => running(w) === 0));
+world.step("the engines are done", (w) => site.until(() => runningCount(w) === 0));
 
-function running(w: world.World): number {
+/** Number of requests that the engines have begun and not finished. */
+function runningCount(w: world.World): number {
   const journal = w.at.journal();
   const ran = journal.filter((e) => e.kind === "run").length;
   return ran - journal.filter((e) => e.kind === "finish").length;
@@ -113,13 +124,13 @@
 
 world.step(
   "the caller is told {word}, with the code {word}",
-  async (w, told: string, code: string) => {
-    expect(site.errorOf(await w.last())).include({ outcome: told, code });
+  async (w, expectedOutcome: string, code: string) => {
+    expect(site.errorOf(await w.last())).include({ outcome: expectedOutcome, code });
   },
 );
 
-world.step("the caller is told {word}", async (w, told: string) => {
-  expect(site.errorOf(await w.last()).outcome).equal(told);
+world.step("the caller is told {word}", async (w, expectedOutcome: string) => {
+  expect(site.errorOf(await w.last()).outcome).equal(expectedOutcome);
 });
 
 world.step("the caller is told when to come back", async (w) => {
@@ -158,8 +169,8 @@
   expect(w.at.journal().filter((e) => e.kind === "run")).length(n);
 });
 
-world.step("the service ran {string} {int} time(s)", (w, what: string, n: number) => {
-  expect(w.at.services?.service.ran.filter((r) => r.body === what)).length(n);
+world.step("the service ran {string} {int} time(s)", (w, body: string, n: number) => {
+  expect(w.at.services?.service.ran.filter((r) => r.body === body)).length(n);
 });
 
 world.step("no adapter was evicted in use", (w) => {
@@ -169,7 +180,7 @@
 world.step(
   "a caller asks {word} for {int} tokens and goes away",
   async (w, model: string, tokens: number) => {
-    await w.at.askAndLeave(model, tokens, () => running(w) > 0);
+    await w.at.askAndLeave(model, tokens, () => runningCount(w) > 0);
   },
 );
 
@@ -201,8 +212,8 @@
 
 world.step(
   "the service ran {string} {int} time(s) after the answer",
-  async (w, what: string, n: number) => {
+  async (w, body: string, n: number) => {
     expect((await w.last()).status).equal(200);
-    expect(w.at.services?.service.ran.filter((r) => r.body === what)).length(n);
+    expect(w.at.services?.service.ran.filter((r) => r.body === body)).length(n);
   },
 );
