--- a/src/contract/intent.ts
+++ b/src/contract/intent.ts
@@ -1,46 +1,46 @@
 /**
- * The declared intent as a value: a revision and the objects in force at it. It changes by
- * changesets alone, each one revision further, so that it can only go forward.
+ * The declared intent as an immutable value: a revision and the objects in effect at that revision.
+ * It changes only by changesets, each of which adds one to the revision, so it never goes back.
  * @module
  */
 import * as zod from "zod";
 import * as objects from "./objects.js";
 import * as selector from "./selector.js";
 
-/** Schema of a changeset, the unit that operators apply and that daemons put in force whole. */
+/** Schema of a changeset: the unit that operators apply, and that daemons put into effect as a whole. */
 export const changeset = zod
   .strictObject({
-    /** The revision that this changeset makes; the one before must be in force. */
+    /** The revision that this changeset produces; the revision before it must be in effect. */
     revision: zod.int().positive(),
-    /** Wall-clock time of acceptance, ISO 8601. */
+    /** Wall-clock time at which the changeset was accepted, in ISO 8601. */
     at: zod.string(),
-    /** Who applied it, for the history. */
+    /** Who applied the changeset; shown in the history. */
     by: zod.string(),
-    /** Tells one attempt to apply from another after a lost reply. */
+    /** Identifies one attempt to apply, so that the attempt can be recognized after a lost reply. */
     id: zod.string().min(1),
-    /** `id` of the changeset before, so that two histories are never mixed; empty for the first. */
+    /** `id` of the previous changeset, so that two histories are never mixed; empty for the first. */
     previous: zod.string(),
     puts: zod.array(objects.schema).readonly(),
-    /** Keys such as `Adapter/captions-en`. */
+    /** Keys of the objects to delete, such as `Adapter/captions-en`. */
     deletes: zod.array(zod.string()).readonly(),
   })
   .readonly();
 export type Changeset = zod.infer<typeof changeset>;
 
-/** The intent at one revision. Values are never changed in place. */
+/** The intent at one revision. Immutable. */
 export interface Intent {
   readonly revision: number;
-  /** `id` of the changeset that made this revision. */
+  /** `id` of the changeset that produced this revision. */
   readonly id: string;
   readonly objects: ReadonlyMap<string, objects.Obj>;
 }
 
-/** The intent before any changeset. */
+/** The intent before the first changeset. */
 export const EMPTY: Intent = { revision: 0, id: "", objects: new Map() };
 
 /**
- * The intent with `change` in force. Throws RangeError when a revision would be skipped or reverted,
- * or when `change` belongs to another history, as after a restore of the store.
+ * Applies `change` and returns the new intent. Throws RangeError when a revision would be skipped or
+ * reverted, or when `change` belongs to another history, as after the store was restored from a backup.
  */
 export function step(intent: Intent, change: Changeset): Intent {
   if (change.revision !== intent.revision + 1) {
@@ -50,7 +50,7 @@
   }
   if (change.previous !== intent.id) {
     throw new RangeError(
-      `changeset ${change.revision} follows another history than the one in force`,
+      `changeset ${change.revision} belongs to another history than the current intent`,
     );
   }
   const next = new Map(intent.objects);
@@ -59,7 +59,7 @@
   return { revision: change.revision, id: change.id, objects: next };
 }
 
-/** The object of a kind and name, or undefined. */
+/** Returns the object with the given kind and name, or undefined. */
 export function find<K extends objects.Kind>(
   intent: Intent,
   kind: K,
@@ -68,56 +68,62 @@
   return intent.objects.get(`${kind}/${name}`) as objects.Of<K> | undefined;
 }
 
-/** All objects of a kind, in the order they were first declared. */
+/** Returns all objects of a kind, in the order in which they were first declared. */
 export function list<K extends objects.Kind>(intent: Intent, kind: K): readonly objects.Of<K>[] {
-  return index(intent).byKind.get(kind) as readonly objects.Of<K>[];
+  return indexFor(intent).byKind.get(kind) as readonly objects.Of<K>[];
 }
 
-/** An adapter at one version. */
+/** An adapter and one of its versions. */
 export interface Target {
   readonly adapter: objects.Adapter;
   readonly version: string;
 }
 
-/** Finds what `model` names: `adapter@version`, or `adapter` for its current version. */
+/** Resolves a model name: `adapter@version`, or `adapter` for the adapter's current version. */
 export function resolve(intent: Intent, model: string): Target | undefined {
-  const at = model.lastIndexOf("@");
-  const adapter = find(intent, "Adapter", at < 0 ? model : model.slice(0, at));
+  const separator = model.lastIndexOf("@");
+  const adapter = find(intent, "Adapter", separator < 0 ? model : model.slice(0, separator));
   if (!adapter) return undefined;
-  const version = at < 0 ? adapter.spec.current : model.slice(at + 1);
+  const version = separator < 0 ? adapter.spec.current : model.slice(separator + 1);
   return adapter.spec.versions.some((v) => v.version === version)
     ? { adapter, version }
     : undefined;
 }
 
-/** The caller that owns the key with this SHA-256, or undefined. */
+/** Returns the caller that owns the key with this SHA-256 hash, or undefined. */
 export function callerOf(intent: Intent, keyHash: string): objects.Caller | undefined {
-  return index(intent).byKeyHash.get(keyHash);
+  return indexFor(intent).byKeyHash.get(keyHash);
 }
 
-/** The grant under which `caller` may use `target`; the first declared wins. */
+/**
+ * Returns the grant under which `caller` may use `target`, or undefined. Where several grants apply,
+ * the one declared first is used.
+ */
 export function grantFor(
   intent: Intent,
   caller: objects.Caller,
   target: objects.Adapter | objects.Of<"Service">,
 ): objects.Grant | undefined {
-  return grantsOf(intent, caller).find((g) => covers(g, target));
+  return grantsOf(intent, caller).find((g) => selects(g, target));
 }
 
-/** The placements that say where `target` may run. */
+/** Returns the placements that select `target`; they say where it may run. */
 export function placementsOf(
   intent: Intent,
   target: objects.Adapter | objects.Of<"Service">,
 ): readonly objects.Placement[] {
-  const cache = index(intent).byTarget;
-  const known = cache.get(target);
-  if (known) return known;
-  const found = list(intent, "Placement").filter((p) => covers(p, target));
-  cache.set(target, found);
-  return found;
+  const cache = indexFor(intent).byTarget;
+  const cached = cache.get(target);
+  if (cached) return cached;
+  const matching = list(intent, "Placement").filter((p) => selects(p, target));
+  cache.set(target, matching);
+  return matching;
 }
 
-/** Whether one endpoint can serve `target` at all, whatever the placements say. */
+/**
+ * Whether endpoint `e` is able to serve `target`: its engine runs the adapter's base model, or it is
+ * the target service itself. Placements are not considered.
+ */
 export function fits(
   e: objects.Endpoint,
   target: objects.Adapter | objects.Of<"Service">,
@@ -127,25 +133,28 @@
     : e.spec.serves === "service" && e.spec.service === target.metadata.name;
 }
 
-/** The endpoints that one placement picks for `target`, of those that can serve it at all. */
+/** Returns the endpoints that placement `p` selects for `target`, among those able to serve it. */
 export function endpointsOf(
   intent: Intent,
   p: objects.Placement,
   target: objects.Adapter | objects.Of<"Service">,
 ): readonly objects.Endpoint[] {
-  const cache = index(intent).byPlacement;
-  const serves = target.kind === "Adapter" ? target.spec.baseModel : target.metadata.name;
-  const key = `${p.metadata.name} ${target.kind} ${serves}`;
-  const known = cache.get(key);
-  if (known) return known;
-  const picked = list(intent, "Endpoint").filter(
+  const cache = indexFor(intent).byPlacement;
+  const servedName = target.kind === "Adapter" ? target.spec.baseModel : target.metadata.name;
+  const key = `${p.metadata.name} ${target.kind} ${servedName}`;
+  const cached = cache.get(key);
+  if (cached) return cached;
+  const selected = list(intent, "Endpoint").filter(
     (e) => fits(e, target) && selector.matches(p.spec.endpoints, labelsOf(intent, e)),
   );
-  cache.set(key, picked);
-  return picked;
+  cache.set(key, selected);
+  return selected;
 }
 
-/** An endpoint's labels with those of its host and failure domain beneath them. */
+/**
+ * Returns an endpoint's labels merged with those of its host and failure domain. The endpoint's own
+ * labels take precedence over the host's, and those over the failure domain's.
+ */
 export function labelsOf(intent: Intent, e: objects.Endpoint): selector.Labels {
   const host = find(intent, "Host", e.spec.host);
   const domain = host && find(intent, "FailureDomain", host.spec.failureDomain);
@@ -158,37 +167,40 @@
   };
 }
 
-/** Label that drains an Endpoint, its Host or its FailureDomain while it is `true`. */
+/** Label that drains an Endpoint, a Host or a FailureDomain while its value is `true`. */
 export const DRAIN_LABEL = "sumacfield/drain";
 
-/** Whether operators have an endpoint drained. */
+/** Whether an operator has drained an endpoint, its host or its failure domain. */
 export function drained(intent: Intent, e: objects.Endpoint): boolean {
   return labelsOf(intent, e)[DRAIN_LABEL] === "true";
 }
 
-function covers(
+/** Whether the selectors of a grant or placement match `target`. */
+function selects(
   o: objects.Grant | objects.Placement,
   target: objects.Adapter | objects.Of<"Service">,
 ): boolean {
   const sel = target.kind === "Adapter" ? o.spec.adapters : o.spec.services;
-  return sel !== undefined && selector.matches(sel, nameLabels(target));
+  return sel !== undefined && selector.matches(sel, selectableLabels(target));
 }
 
-function nameLabels(o: objects.Obj): selector.Labels {
+/** An object's labels, with its name as a label, as selectors see them. */
+function selectableLabels(o: objects.Obj): selector.Labels {
   return { "sumacfield/name": o.metadata.name, ...o.metadata.labels };
 }
 
 function grantsOf(intent: Intent, caller: objects.Caller): readonly objects.Grant[] {
-  const cache = index(intent).byCaller;
-  const known = cache.get(caller);
-  if (known) return known;
-  const held = list(intent, "Grant").filter((g) =>
-    selector.matches(g.spec.callers, nameLabels(caller)),
+  const cache = indexFor(intent).byCaller;
+  const cached = cache.get(caller);
+  if (cached) return cached;
+  const matching = list(intent, "Grant").filter((g) =>
+    selector.matches(g.spec.callers, selectableLabels(caller)),
   );
-  cache.set(caller, held);
-  return held;
+  cache.set(caller, matching);
+  return matching;
 }
 
+/** Lookup tables over one intent; the three maps at the end are filled as they are needed. */
 interface Index {
   readonly byKind: ReadonlyMap<objects.Kind, readonly objects.Obj[]>;
   readonly byKeyHash: ReadonlyMap<string, objects.Caller>;
@@ -199,9 +211,9 @@
 
 const indexes = new WeakMap<Intent, Index>();
 
-function index(intent: Intent): Index {
-  const known = indexes.get(intent);
-  if (known) return known;
+function indexFor(intent: Intent): Index {
+  const cached = indexes.get(intent);
+  if (cached) return cached;
   const byKind = new Map<objects.Kind, objects.Obj[]>(objects.KINDS.map((k) => [k, []]));
   const byKeyHash = new Map<string, objects.Caller>();
   for (const o of intent.objects.values()) {
@@ -209,13 +221,13 @@
     if (o.kind !== "Caller") continue;
     for (const hash of o.spec.keys) byKeyHash.set(hash, o);
   }
-  const made = {
+  const built = {
     byKind,
     byKeyHash,
     byCaller: new Map(),
     byPlacement: new Map(),
     byTarget: new Map(),
   };
-  indexes.set(intent, made);
-  return made;
+  indexes.set(intent, built);
+  return built;
 }
--- a/src/contract/objects.ts
+++ b/src/contract/objects.ts
@@ -1,5 +1,5 @@
 /**
- * The objects operators declare, and the schema every one is checked against.
+ * The objects that operators declare, and the schema that validates them.
  * @module
  */
 import * as zod from "zod";
@@ -14,7 +14,7 @@
 const version = zod.string().regex(VERSION, "expected a version such as 7 or 2026.1");
 const metadata = zod.strictObject({ name, labels: selector.labels.default({}) }).readonly();
 
-function object<const K extends string, S extends zod.ZodRawShape>(kind: K, spec: S) {
+function objectSchema<const K extends string, S extends zod.ZodRawShape>(kind: K, spec: S) {
   return zod
     .strictObject({
       apiVersion: zod.literal("sumacfield/v1"),
@@ -25,77 +25,78 @@
     .readonly();
 }
 
-const oneTarget = "expected exactly one of adapters and services";
+const oneTargetMessage = "expected exactly one of adapters and services";
 
-/** What a grant allows its callers, together, over all entry hosts. */
+/** Limits that a grant sets, summed over all entry hosts. */
 const limits = zod
   .strictObject({
-    /** Requests under way at once. */
+    /** Requests in flight at once. */
     concurrency: zod.int().positive().optional(),
-    /** Requests a second, averaged over a second. */
+    /** Requests per second, averaged over one second. */
     rate: zod.number().positive().optional(),
-    /** Requests waiting at one endpoint. */
+    /** Requests that may wait at one endpoint. */
     queue: zod.int().positive().optional(),
-    /** Worth of one request against others; 1 when left out. */
+    /** Weight of one request relative to others in queues; 1 if not given. */
     worth: zod.number().positive().max(1000).optional(),
   })
   .readonly();
 
-const failureDomain = object("FailureDomain", { region: zod.string().optional() });
-const host = object("Host", { failureDomain: name });
-const endpoint = object("Endpoint", {
+const failureDomain = objectSchema("FailureDomain", { region: zod.string().optional() });
+const host = objectSchema("Host", { failureDomain: name });
+const endpoint = objectSchema("Endpoint", {
   host: name,
-  /** An engine serves adapters of one base model; a service is routed to as it is. */
+  /** An engine serves adapters of one base model; requests to a plain service are passed on unchanged. */
   serves: zod.enum(["engine", "service"]),
   baseModel: zod.string().min(1).optional(),
   service: name.optional(),
-  /** Adapters the engine holds at once. */
+  /** Adapters that the engine can hold at once. */
   slots: zod.int().positive().default(8),
-  /** Requests the engine batches at once, or the service takes at once. */
+  /** Requests that the engine runs in one batch, or that the service handles concurrently. */
   seats: zod.int().positive().default(16),
-  /** Whether the engine refuses orders with an old fencing number. */
+  /** Whether the engine rejects load and unload orders that carry an outdated fencing number. */
   fencing: zod.enum(["honoured", "ignored"]).default("ignored"),
 });
-const adapter = object("Adapter", {
+const adapter = objectSchema("Adapter", {
   baseModel: zod.string().min(1),
   versions: zod.array(zod.strictObject({ version, source: zod.string().min(1) }).readonly()).min(1),
-  /** The version meant when a request names none. */
+  /** The version used when a request names none. */
   current: version,
 });
-const service = object("Service", {
-  /** HTTP methods whose calls may be run again after a broken link. */
+const service = objectSchema("Service", {
+  /** HTTP methods whose calls may be repeated after the connection to the endpoint broke. */
   repeatable: zod.array(zod.string()).default(["GET", "HEAD", "OPTIONS"]),
 });
-const caller = object("Caller", {
-  /** SHA-256 of each key in force, in hex; two or more while a key is rotated. */
+const caller = objectSchema("Caller", {
+  /** SHA-256 of each valid API key, in hex; there are two or more while a key is being rotated. */
   keys: zod.array(zod.string().regex(/^[0-9a-f]{64}$/, "expected a SHA-256 in small hex digits")),
-  /** Class of its requests in queues and metrics. */
+  /** Class of the caller's requests in queues and metrics. */
   class: name.default("standard"),
 });
-const grant = object("Grant", {
+const grant = objectSchema("Grant", {
   callers: selector.schema,
   adapters: selector.schema.optional(),
   services: selector.schema.optional(),
   limits: limits.default({}),
 });
-const placement = object("Placement", {
+const placement = objectSchema("Placement", {
   adapters: selector.schema.optional(),
   services: selector.schema.optional(),
   endpoints: selector.schema,
-  /** Failure domains that the endpoints tried first for one adapter are spread over. */
+  /** Number of distinct failure domains among the endpoints that are tried first for one adapter. */
   spread: zod.strictObject({ failureDomains: zod.int().positive() }).readonly().optional(),
 });
 
-function checkTarget(
+/** Reports an issue unless exactly one of `adapters` and `services` is given. */
+function checkOneTarget(
   o: { spec: { adapters?: unknown; services?: unknown } },
   ctx: zod.RefinementCtx,
 ) {
   if ((o.spec.adapters === undefined) === (o.spec.services === undefined)) {
-    ctx.addIssue({ code: "custom", path: ["spec"], message: oneTarget });
+    ctx.addIssue({ code: "custom", path: ["spec"], message: oneTargetMessage });
   }
 }
 
-/** Schema of any object. */
+/** Schema of a declared object of any kind. */
 export const schema = zod
   .discriminatedUnion("kind", [
     failureDomain,
@@ -111,7 +112,7 @@
     switch (o.kind) {
       case "Grant":
       case "Placement":
-        checkTarget(o, ctx);
+        checkOneTarget(o, ctx);
         break;
       case "Adapter":
         if (!o.spec.versions.some((v) => v.version === o.spec.current)) {
@@ -149,7 +150,7 @@
 /** One declared object. */
 export type Obj = zod.infer<typeof schema>;
 export type Kind = Obj["kind"];
-/** The object of one kind. */
+/** A declared object of kind `K`. */
 export type Of<K extends Kind> = Extract<Obj, { kind: K }>;
 export type Endpoint = Of<"Endpoint">;
 export type Adapter = Of<"Adapter">;
@@ -157,7 +158,7 @@
 export type Grant = Of<"Grant">;
 export type Placement = Of<"Placement">;
 
-/** Every kind, in the order lists show them. */
+/** All kinds, in the order in which listings show them. */
 export const KINDS: readonly Kind[] = [
   "FailureDomain",
   "Host",
@@ -169,7 +170,7 @@
   "Placement",
 ];
 
-/** An object's key in the intent, e.g. `Adapter/captions-en`. */
+/** Returns an object's key in the intent, e.g. `Adapter/captions-en`. */
 export function keyOf(o: Obj): string {
   return `${o.kind}/${o.metadata.name}`;
 }
--- a/src/contract/ring.ts
+++ b/src/contract/ring.ts
@@ -1,6 +1,6 @@
 /**
- * Consistent hashing: the endpoints an adapter is tried on first, the same for every entry daemon
- * without a word between them, and found in time that hardly grows with their number.
+ * A consistent-hash ring that gives the endpoints an adapter is tried on first. Every entry daemon
+ * computes the same answer without communication, in time that hardly grows with the number of endpoints.
  * @module
  */
 import * as hash from "../host/hash.js";
@@ -11,39 +11,47 @@
   readonly failureDomain: string;
 }
 
+/** A consistent-hash ring, as built by {@link build}. */
 export interface Ring {
   readonly places: readonly Place[];
-  /** Points in rising order, and the place that owns each. */
+  /** Points in ascending order. `owners` holds, for each point, the index in `places` of its endpoint. */
   readonly points: Uint32Array;
   readonly owners: Uint32Array;
 }
 
-/** Points of one place; more make shares more even. */
-const POINTS = 48;
-/** Points looked at for one answer, for each place wanted. */
-const LOOK = 16;
+/** Points of one endpoint on the ring; with more points the endpoints' shares are more even. */
+const POINTS_PER_ENDPOINT = 48;
+/**
+ * On a large ring, points scanned at most for each endpoint wanted. Also the number of further
+ * endpoints collected at most for each failure domain wanted.
+ */
+const SCAN_PER_ENDPOINT = 16;
 
-/** Above any number of places: a point and its owner share one double, so that sorting stays native. */
-const OWNERS = 2 ** 20;
+/**
+ * Exceeds any number of endpoints. A point and the index of its endpoint are packed into one double,
+ * point * MAX_ENDPOINTS + index, so that the native numeric sort can be used.
+ */
+const MAX_ENDPOINTS = 2 ** 20;
 
-/** The ring of some endpoints, whatever their order. */
+/** Builds the ring of the given endpoints. The answers do not depend on their order. */
 export function build(places: readonly Place[]): Ring {
-  const made = new Float64Array(places.length * POINTS);
+  const sortable = new Float64Array(places.length * POINTS_PER_ENDPOINT);
   for (const [owner, p] of places.entries()) {
     const name = hash.of32(p.name);
-    for (let i = 0; i < POINTS; i++) {
-      made[owner * POINTS + i] = hash.mix32(name, i + 1) * OWNERS + owner;
+    for (let i = 0; i < POINTS_PER_ENDPOINT; i++) {
+      sortable[owner * POINTS_PER_ENDPOINT + i] = hash.mix32(name, i + 1) * MAX_ENDPOINTS + owner;
     }
   }
-  made.sort();
+  sortable.sort();
   return {
     places,
-    points: Uint32Array.from(made, (m) => Math.floor(m / OWNERS)),
-    owners: Uint32Array.from(made, (m) => m % OWNERS),
+    points: Uint32Array.from(sortable, (m) => Math.floor(m / MAX_ENDPOINTS)),
+    owners: Uint32Array.from(sortable, (m) => m % MAX_ENDPOINTS),
   };
 }
 
-function firstAt(points: Uint32Array, point: number): number {
+/** Index of the first point that is not below `point`, by binary search. */
+function firstPointFrom(points: Uint32Array, point: number): number {
   let low = 0;
   let high = points.length;
   while (low < high) {
@@ -55,35 +63,39 @@
 }
 
 /**
- * Up to `n` endpoints for `key`, best first. The first `domains` of them are in failure domains of
- * their own as far as there are so many.
+ * Returns up to `n` endpoints for `key`, in order of preference. The first `domains` of them are in
+ * distinct failure domains, as far as there are that many.
  */
 export function successors(ring: Ring, key: string, n: number, domains: number): readonly Place[] {
   const { points, owners, places } = ring;
   const found: Place[] = [];
-  const met = new Set<number>();
-  const start = firstAt(points, hash.of32(key));
+  const visited = new Set<number>();
+  const start = firstPointFrom(points, hash.of32(key));
   const wanted = Math.min(n, places.length);
-  // All of a small ring is walked; of a large one no more than the answer needs.
-  const steps = Math.min(points.length, Math.max(wanted * LOOK, 4 * POINTS));
-  for (let i = 0; i < steps && met.size < wanted + domains * LOOK; i++) {
+  // A small ring is scanned whole, a large one only as far as the answer requires.
+  const steps = Math.min(
+    points.length,
+    Math.max(wanted * SCAN_PER_ENDPOINT, 4 * POINTS_PER_ENDPOINT),
+  );
+  for (let i = 0; i < steps && visited.size < wanted + domains * SCAN_PER_ENDPOINT; i++) {
     const owner = owners[(start + i) % points.length] ?? 0;
-    if (met.has(owner)) continue;
-    met.add(owner);
+    if (visited.has(owner)) continue;
+    visited.add(owner);
     const place = places[owner];
     if (place) found.push(place);
   }
-  return spread(found, domains).slice(0, wanted);
+  return preferDistinctDomains(found, domains).slice(0, wanted);
 }
 
-function spread(found: readonly Place[], domains: number): readonly Place[] {
+/** Moves to the front the first endpoint of each failure domain, for at most `domains` domains. */
+function preferDistinctDomains(found: readonly Place[], domains: number): readonly Place[] {
   const seen = new Set<string>();
-  const ahead: Place[] = [];
+  const preferred: Place[] = [];
   const rest: Place[] = [];
   for (const p of found) {
-    const fresh = ahead.length < domains && !seen.has(p.failureDomain);
+    const isNewDomain = preferred.length < domains && !seen.has(p.failureDomain);
     seen.add(p.failureDomain);
-    (fresh ? ahead : rest).push(p);
+    (isNewDomain ? preferred : rest).push(p);
   }
-  return [...ahead, ...rest];
+  return [...preferred, ...rest];
 }
--- a/src/link/body.ts
+++ b/src/link/body.ts
@@ -19,23 +19,23 @@
   const tooLarge = (): outcome.StepError =>
     outcome.notRun("too_large", "read", peer, `The body is over ${limit} bytes.`);
   if (Number(req.headers["content-length"] ?? 0) > limit) throw tooLarge();
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
   try {
-    for await (const part of req as AsyncIterable<Buffer>) {
-      size += part.length;
+    for await (const chunk of req as AsyncIterable<Buffer>) {
+      size += chunk.length;
       if (size > limit) throw tooLarge();
-      parts.push(part);
+      chunks.push(chunk);
     }
   } catch (err) {
     if (err instanceof outcome.StepError) throw err;
     throw outcome.notRun("bad_request", "read", peer, "The request broke off before its end.");
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
 /** Codes that Node's HTTP server gives to what it cannot read, where they say more than "bad". */
-const UNREADABLE: Readonly<Record<string, outcome.Code>> = {
+const CODE_BY_PARSE_ERROR: Readonly<Record<string, outcome.Code>> = {
   HPE_HEADER_OVERFLOW: "too_large",
   ERR_HTTP_REQUEST_TIMEOUT: "bad_request",
 };
@@ -50,7 +50,7 @@
     return;
   }
   const cause = "code" in err ? String(err.code) : "";
-  const code = UNREADABLE[cause] ?? "bad_request";
+  const code = CODE_BY_PARSE_ERROR[cause] ?? "bad_request";
   const message = `The request could not be read: ${err.message}.`;
   const text = JSON.stringify(
     outcome.toBody({ code, outcome: "not_run", step: "read", peer: "caller", message }),
@@ -75,12 +75,14 @@
     return;
   }
   const text = JSON.stringify(outcome.toBody(f));
-  const wait = f.retryAfterMs;
+  const retryAfterMs = f.retryAfterMs;
   res.writeHead(outcome.STATUS[f.code], {
     "content-type": "application/json",
     "content-length": Buffer.byteLength(text),
     [wire.HEADER.outcome]: f.outcome,
-    ...(wait !== undefined && { "retry-after": String(Math.max(1, Math.ceil(wait / MS_PER_S))) }),
+    ...(retryAfterMs !== undefined && {
+      "retry-after": String(Math.max(1, Math.ceil(retryAfterMs / MS_PER_S))),
+    }),
     ...(f.code === "too_large" && { connection: "close" }),
   });
   res.end(text);
--- a/src/link/control.ts
+++ b/src/link/control.ts
@@ -123,9 +123,9 @@
 }
 
 /** Largest control body, in bytes: the whole intent at the size to come, with room to spare. */
-const BODY_LIMIT = 32 * 1024 * 1024;
+const MAX_BODY_BYTES = 32 * 1024 * 1024;
 /** Rough size of a control call's line and headers on the wire, in bytes. */
-const HEAD_BYTES = 400;
+const CALL_OVERHEAD_BYTES = 400;
 
 /** Serves control calls under {@link wire.CONTROL_PATH}; a call without a good signature gets 401. */
 export function serve(
@@ -138,13 +138,13 @@
   return async (req, res) => {
     const peer = req.socket.remoteAddress ?? "gone";
     try {
-      const text = await body.read(req, BODY_LIMIT, peer);
+      const text = await body.read(req, MAX_BODY_BYTES, peer);
       const method = req.method ?? "";
       const path = req.url ?? "";
       const covers = [keys.sha256(text)];
       verify(req.headers.authorization, { method, path, audience: name, covers }, peer);
-      const out = JSON.stringify(await call(procedures, path, text.toString()));
-      traffic.bytes += HEAD_BYTES + path.length + text.length + out.length;
+      const out = JSON.stringify(await callProcedure(procedures, path, text.toString()));
+      traffic.bytes += CALL_OVERHEAD_BYTES + path.length + text.length + out.length;
       const size = Buffer.byteLength(out);
       res.writeHead(200, { "content-type": "application/json", "content-length": size });
       res.end(out);
@@ -157,7 +157,7 @@
 type Procedures = Readonly<Record<string, (input: unknown) => Promise<unknown>>>;
 
 /** Calls one procedure straight, without the library's HTTP adapter, whose cost is most of a call's. */
-async function call(procedures: object, path: string, text: string): Promise<Envelope> {
+async function callProcedure(procedures: object, path: string, text: string): Promise<Envelope> {
   const name = path.slice(wire.CONTROL_PATH.length + 1);
   if (!Object.hasOwn(router._def.procedures, name)) {
     throw outcome.notRun("not_found", "control", name, "There is no such call.");
@@ -175,30 +175,30 @@
 export function connect(
   address: string,
   name: string,
-  ring: keys.Keys,
+  clusterKeys: keys.Keys,
   clk: clock.Clock,
   timeoutMs: number,
   traffic: Traffic,
 ): Peer {
-  const ask = async (procedure: string, input: unknown): Promise<unknown> => {
+  const post = async (procedure: string, input: unknown): Promise<unknown> => {
     const path = `${wire.CONTROL_PATH}/${procedure}`;
     const text = input === undefined ? "" : JSON.stringify(input);
     const signed = { method: "POST", path, audience: name, covers: [keys.sha256(text)] };
     const res = await undici.request(`http://${address}${path}`, {
       method: "POST",
-      headers: { authorization: keys.sign(ring, signed, clk) },
+      headers: { authorization: keys.sign(clusterKeys, signed, clk) },
       body: text,
       signal: AbortSignal.timeout(timeoutMs),
     });
     const out = await res.body.text();
-    traffic.bytes += HEAD_BYTES + path.length + text.length + out.length;
+    traffic.bytes += CALL_OVERHEAD_BYTES + path.length + text.length + out.length;
     if (res.statusCode === 200) return (JSON.parse(out) as Envelope).result.data;
-    const told = outcome.fromBody(out);
-    throw told ? new outcome.StepError(told) : new Error(`status ${res.statusCode}`);
+    const failure = outcome.fromBody(out);
+    throw failure ? new outcome.StepError(failure) : new Error(`status ${res.statusCode}`);
   };
   const link: client.TRPCLink<Router> = () => (opts) =>
     observables.observable((observer) => {
-      ask(opts.op.path, opts.op.input).then(
+      post(opts.op.path, opts.op.input).then(
         (data) => {
           observer.next({ result: { type: "data", data } });
           observer.complete();
--- a/src/link/pump.ts
+++ b/src/link/pump.ts
@@ -14,8 +14,8 @@
   return new Promise((resolve, reject) => {
     const stop = (): void => {
       to.off("drain", resume);
-      to.off("close", left);
-      from.off("data", pass);
+      to.off("close", readerClosed);
+      from.off("data", forward);
     };
     const fail = (err: Error): void => {
       stop();
@@ -24,26 +24,26 @@
     const resume = (): void => {
       from.resume();
     };
-    const left = (): void => {
+    const readerClosed = (): void => {
       from.destroy();
       fail(new Error("the reader went away"));
     };
-    const pass = (part: Buffer): void => {
-      if (!to.write(part)) from.pause();
+    const forward = (chunk: Buffer): void => {
+      if (!to.write(chunk)) from.pause();
     };
-    let whole = false;
+    let ended = false;
     from.once("error", fail);
     from.once("close", () => {
-      if (!whole) fail(new Error("the sender broke off"));
+      if (!ended) fail(new Error("the sender broke off"));
     });
     from.once("end", () => {
-      whole = true;
+      ended = true;
       stop();
       resolve();
     });
     to.on("drain", resume);
-    to.on("close", left);
-    if (to.destroyed) left();
-    else from.on("data", pass);
+    to.on("close", readerClosed);
+    if (to.destroyed) readerClosed();
+    else from.on("data", forward);
   });
 }
--- a/src/request/claims.ts
+++ b/src/request/claims.ts
@@ -1,6 +1,7 @@
 /**
- * Claims on idempotency keys, so that a request with one runs at most once whichever entry hosts it
- * reaches. A claim is a key created in the store; those of a few milliseconds go in one call.
+ * Claims on idempotency keys, so that a request that carries one runs at most once, whichever entry
+ * hosts it reaches. A claim is a key created in the store; claims that are made within a few
+ * milliseconds of each other are sent in one call.
  * @module
  */
 import * as zod from "zod";
@@ -12,40 +13,50 @@
 import type * as store from "../store/store.js";
 import * as outcome from "./outcome.js";
 
+/** Settings of {@link Claims}. */
 export interface Options {
-  /** For how long a key is remembered at least, in ms. */
+  /** Minimum time for which a key is remembered, in ms. */
   readonly windowMs: number;
-  /** Claims made within this many ms share one call. */
+  /** Time for which a claim waits for others to be sent in the same call, in ms. */
   readonly batchMs: number;
-  /** Claims in one call at most. */
+  /** Maximum number of claims in one call. */
   readonly batch: number;
 }
 
+/** What {@link Claims} depends on. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: log.Log;
   readonly store: store.Store;
 }
 
-const held = zod.object({ request: zod.string() });
+/** The value under a claim's key: the id of the request that holds it. */
+const claimRecord = zod.object({ request: zod.string() });
 
-/** A claim this daemon made. */
+/** A claim that this daemon holds. */
 export interface Claim {
   readonly key: string;
   readonly request: string;
 }
 
-interface Pending {
+/** A claim that waits for the next call to the store. */
+interface PendingClaim {
   readonly claim: Claim;
   readonly resolve: () => void;
   readonly reject: (err: unknown) => void;
 }
 
-const RELEASE_TRIES = 5;
-const RELEASE_WAIT_MS = 500;
+/** Calls made at most to release one claim. */
+const MAX_RELEASE_ATTEMPTS = 5;
+/**
+ * Delay before the second attempt to release a claim, in ms; it doubles with each further attempt. Also
+ * the time after which a caller may retry when a claim could not be made.
+ */
+const RETRY_DELAY_MS = 500;
 
+/** Makes and releases claims for one entry daemon, in batches. */
 export class Claims {
-  private pending: readonly Pending[] = [];
+  private pending: readonly PendingClaim[] = [];
   private lease: { readonly id: string; readonly renewAt: number } | undefined;
 
   constructor(
@@ -54,8 +65,9 @@
   ) {}
 
   /**
-   * Claims `key` for one request of a caller. Throws a `StepError` of step `claim`: `unknown` when
-   * another request has the key and may have run, `not_run` when the store cannot tell.
+   * Claims the idempotency key `key` of a caller for one request. Throws a `StepError` of step `claim`:
+   * with outcome `unknown` when another request holds the key and may have run, and with `not_run`
+   * when the store did not confirm the claim.
    */
   make(caller: string, key: string, request: string): Promise<Claim> {
     const claim = { key: `${journal.ROOT}claims/${caller}/${keys.sha256(key)}`, request };
@@ -76,45 +88,47 @@
   private flush(): void {
     const batch = this.pending;
     this.pending = [];
-    if (batch.length > 0) void this.send(batch);
+    if (batch.length > 0) void this.sendBatch(batch);
   }
 
-  private async send(batch: readonly Pending[]): Promise<void> {
-    // Two of the same key in one call cannot be told apart by the store.
-    const first = new Map<string, Pending>();
+  private async sendBatch(batch: readonly PendingClaim[]): Promise<void> {
+    // The store cannot tell apart two claims on the same key in one call, so only the first is sent.
+    const firstByKey = new Map<string, PendingClaim>();
     for (const p of batch) {
-      if (first.has(p.claim.key)) p.reject(taken());
-      else first.set(p.claim.key, p);
+      if (firstByKey.has(p.claim.key)) p.reject(duplicateError());
+      else firstByKey.set(p.claim.key, p);
     }
-    const mine = [...first.values()];
+    const unique = [...firstByKey.values()];
     try {
-      const found = await this.create(mine);
-      for (const [i, p] of mine.entries()) {
-        const there = found[i];
-        if (there && held.parse(JSON.parse(there.value)).request !== p.claim.request) {
-          p.reject(taken());
+      const existing = await this.createWithRetry(unique);
+      for (const [i, p] of unique.entries()) {
+        const entry = existing[i];
+        if (entry && claimRecord.parse(JSON.parse(entry.value)).request !== p.claim.request) {
+          p.reject(duplicateError());
         } else p.resolve();
       }
     } catch (err) {
-      for (const p of mine) p.reject(unproved(err));
+      for (const p of unique) p.reject(unprovedError(err));
     }
   }
 
-  /** Creates the keys; after a lost reply once more, which finds what the first call wrote. */
-  private async create(mine: readonly Pending[]): Promise<readonly (store.Entry | undefined)[]> {
+  /** Creates the keys, and retries once after a lost reply: the retry finds what the first call wrote. */
+  private async createWithRetry(
+    batch: readonly PendingClaim[],
+  ): Promise<readonly (store.Entry | undefined)[]> {
     try {
-      return await this.createOnce(mine);
+      return await this.createOnce(batch);
     } catch (err) {
-      this.deps.log.debug(`Claims are asked for again: ${errors.why(err)}`);
-      return this.createOnce(mine);
+      this.deps.log.debug(`Retrying to create claims: ${errors.why(err)}`);
+      return this.createOnce(batch);
     }
   }
 
   private async createOnce(
-    mine: readonly Pending[],
+    batch: readonly PendingClaim[],
   ): Promise<readonly (store.Entry | undefined)[]> {
     const lease = await this.currentLease();
-    const puts = mine.map(({ claim: c }) => ({
+    const puts = batch.map(({ claim: c }) => ({
       key: c.key,
       value: JSON.stringify({ request: c.request }),
       lease,
@@ -122,7 +136,10 @@
     return this.deps.store.create(puts);
   }
 
-  /** One lease serves a window's worth of claims, so that each lasts one window at least. */
+  /**
+   * Returns the lease for new claims. A lease lives for twice `windowMs` and is used for new claims
+   * during the first half, so that each claim lasts for at least `windowMs`.
+   */
   private async currentLease(): Promise<string> {
     const now = this.deps.clock.mono();
     if (this.lease && now < this.lease.renewAt) return this.lease.id;
@@ -131,39 +148,39 @@
     return id;
   }
 
-  /** Gives a claim back after its request certainly did not run, so that it may be sent again. */
+  /** Releases a claim whose request certainly did not run, so that the caller may send it again. */
   async release(claim: Claim): Promise<void> {
-    for (let i = 0; i < RELEASE_TRIES; i++) {
+    for (let i = 0; i < MAX_RELEASE_ATTEMPTS; i++) {
       try {
-        const there = await this.deps.store.read(claim.key);
-        if (!there || held.parse(JSON.parse(there.value)).request !== claim.request) return;
-        const compares = [{ key: claim.key, revision: there.revision }];
+        const entry = await this.deps.store.read(claim.key);
+        if (!entry || claimRecord.parse(JSON.parse(entry.value)).request !== claim.request) return;
+        const compares = [{ key: claim.key, revision: entry.revision }];
         await this.deps.store.commit({ compares, puts: [], deletes: [claim.key] });
         return;
       } catch (err) {
-        this.deps.log.debug(`A claim was not given back yet: ${errors.why(err)}`);
-        await clock.sleep(this.deps.clock, RELEASE_WAIT_MS * 2 ** i);
+        this.deps.log.debug(`Could not release a claim yet: ${errors.why(err)}`);
+        await clock.sleep(this.deps.clock, RETRY_DELAY_MS * 2 ** i);
       }
     }
   }
 }
 
-function taken(): outcome.StepError {
+function duplicateError(): outcome.StepError {
   return new outcome.StepError({
     code: "duplicate",
     outcome: "unknown",
     step: "claim",
     peer: "store",
-    message: "A request with this idempotency key was taken before; it may have run.",
+    message: "A request with this idempotency key was accepted before; it may have run.",
   });
 }
 
-function unproved(err: unknown): outcome.StepError {
+function unprovedError(err: unknown): outcome.StepError {
   return outcome.notRun(
     "claim_unproved",
     "claim",
     "store",
-    `That the request has not run before cannot be proved now: ${errors.why(err)}`,
-    RELEASE_WAIT_MS,
+    `Cannot verify now that this request has not run before: ${errors.why(err)}`,
+    RETRY_DELAY_MS,
   );
 }
--- a/src/request/outcome.ts
+++ b/src/request/outcome.ts
@@ -1,12 +1,13 @@
 /**
- * What a caller may conclude from a failure, and the one error class that carries it.
+ * Failures: their error codes, whether the request may have run, and the error class that carries them.
  * @module
  */
 
 /**
- * - `not_run`: certain; the request reached no engine or service, and may be sent again.
- * - `failed`: it ran, and failed.
- * - `unknown`: it may have run.
+ * Whether a request that failed has run.
+ * - `not_run`: the request certainly reached no engine or service, and may be sent again.
+ * - `failed`: the request ran and failed.
+ * - `unknown`: the request may have run.
  */
 export type Outcome = "not_run" | "failed" | "unknown";
 
@@ -34,23 +35,23 @@
   deadline: 504,
 } as const;
 
-/** The stable error codes of every failure a caller or an operator can meet. */
+/** The stable error codes of all failures that callers and operators can see. */
 export type Code = keyof typeof STATUS;
 
-/** Where, why and with what certainty a step failed. */
+/** At which step and peer something failed, why, and whether the request may have run. */
 export interface Failure {
   readonly code: Code;
   readonly outcome: Outcome;
-  /** The step under way, e.g. `route` or `dispatch`. */
+  /** The step that failed, e.g. `route` or `dispatch`. */
   readonly step: string;
-  /** The process or host the step dealt with. */
+  /** The process or host that the step communicated with. */
   readonly peer: string;
   readonly message: string;
-  /** Milliseconds after which a repeat makes sense; told to callers as Retry-After. */
+  /** Milliseconds after which a retry makes sense; sent to callers as Retry-After. */
   readonly retryAfterMs?: number | undefined;
 }
 
-/** A failure thrown between parts; it carries the step and the peer at which it arose. */
+/** A failure as an error; it carries the step and the peer at which it occurred. */
 export class StepError extends Error {
   override readonly name = "StepError";
   constructor(readonly failure: Failure) {
@@ -58,7 +59,7 @@
   }
 }
 
-/** A {@link StepError} for a request that certainly did not run. */
+/** Creates a {@link StepError} for a request that certainly did not run. */
 export function notRun(
   code: Code,
   step: string,
@@ -69,7 +70,7 @@
   return new StepError({ code, outcome: "not_run", step, peer, message, retryAfterMs });
 }
 
-/** The JSON body of a failure, in the shape of the language-model API's errors. */
+/** The JSON body of a failure, in the error format of the language-model API. */
 export interface ErrorBody {
   readonly error: {
     readonly message: string;
@@ -83,7 +84,7 @@
   };
 }
 
-/** Renders a failure as the body callers get. */
+/** Converts a failure to the body that is sent to callers. */
 export function toBody(f: Failure): ErrorBody {
   const type = STATUS[f.code] < 500 ? "invalid_request_error" : "server_error";
   return {
@@ -100,7 +101,7 @@
   };
 }
 
-/** Reads a failure back from a daemon's body; undefined when the body is something else. */
+/** Parses a failure from the body of a daemon's response; undefined if the body is not a failure. */
 export function fromBody(text: string): Failure | undefined {
   try {
     const { error } = JSON.parse(text) as Partial<ErrorBody>;
@@ -112,7 +113,10 @@
   }
 }
 
-/** Turns anything thrown into a failure, keeping the certainty a {@link StepError} carries. */
+/**
+ * Converts anything thrown to a failure. A {@link StepError} keeps its own step, peer and outcome; the
+ * arguments apply to other errors.
+ */
 export function toFailure(err: unknown, step: string, peer: string, outcome: Outcome): Failure {
   if (err instanceof StepError) return err.failure;
   const message = err instanceof Error ? err.message : String(err);
--- a/src/request/trail.ts
+++ b/src/request/trail.ts
@@ -1,26 +1,28 @@
 /**
- * The attempts of one request, and what may be said of it because of them. This is where "not run"
- * is certain and where a request that must not be repeated is kept from a second attempt.
+ * A state machine over the attempts of one request. It decides whether the request certainly has not
+ * run, and prevents a second attempt of a request that must not be repeated.
  * @module
  */
 import * as xstate from "xstate";
 import type * as outcome from "./outcome.js";
 
+/** What happens to a request's attempts. */
 export type TrailEvent =
-  /** An attempt is about to be sent; from here on it may run. */
+  /** An attempt is about to be sent; from now on it may run. */
   | { readonly type: "send" }
-  /** Its endpoint says that it did not and will not run. */
+  /** The endpoint answered that the attempt did not run and will not run. */
   | { readonly type: "refused" }
-  /** Its link broke, or its endpoint fell silent: it may have run. */
+  /** The connection broke, or the endpoint stopped answering: the attempt may have run. */
   | { readonly type: "broke" }
-  /** The endpoint of a broken attempt says that it did not and will not run. */
+  /** The endpoint of a broken attempt confirmed that the attempt did not run and will not run. */
   | { readonly type: "proved" }
-  /** It ran and failed, for good. */
+  /** The attempt ran and failed, and the request is not retried. */
   | { readonly type: "failed" }
-  /** It ran and failed, and may be run again elsewhere. */
+  /** The attempt ran and failed, and the request may be retried on another endpoint. */
   | { readonly type: "spoiled" }
-  /** The first byte of its answer went to the caller. */
+  /** The first byte of the answer was sent to the caller. */
   | { readonly type: "begun" }
+  /** The whole answer was sent to the caller. */
   | { readonly type: "finished" };
 
 const machine = xstate
@@ -28,7 +30,9 @@
     types: {
       context: {} as {
         readonly repeatable: boolean;
+        /** Attempts that may have run. */
         readonly doubts: number;
+        /** Attempts that ran and failed in a way that allows a retry. */
         readonly spoiled: number;
       },
       events: {} as TrailEvent,
@@ -72,45 +76,48 @@
     },
   });
 
-/** A request's attempts so far. */
+/** The state that a request's attempts so far have led to. */
 export type Trail = xstate.SnapshotFrom<typeof machine>;
 
-const starts = {
+const initialTrails = {
   repeatable: xstate.initialTransition(machine, { repeatable: true })[0],
   single: xstate.initialTransition(machine, { repeatable: false })[0],
 } as const;
 
-/** No attempt yet. */
+/** The state before the first attempt; `repeatable` says whether the request may run more than once. */
 export function start(repeatable: boolean): Trail {
-  return repeatable ? starts.repeatable : starts.single;
+  return repeatable ? initialTrails.repeatable : initialTrails.single;
 }
 
-/** Steps taken before; trails are few, since attempts are, and the machine is slow to ask. */
-const steps = new WeakMap<Trail, Map<TrailEvent["type"], Trail | undefined>>();
+/**
+ * Caches transitions, since evaluating the state machine is slow. The cache stays small: a request has
+ * few attempts, so there are few distinct states.
+ */
+const transitionCache = new WeakMap<Trail, Map<TrailEvent["type"], Trail | undefined>>();
 
-/** The trail after `type`; undefined where that may not happen. */
-function after(t: Trail, type: TrailEvent["type"]): Trail | undefined {
-  const known = steps.get(t) ?? new Map<TrailEvent["type"], Trail | undefined>();
-  steps.set(t, known);
-  if (known.has(type)) return known.get(type);
+/** Returns the state after event `type`, or undefined when the event is not allowed. */
+function nextTrail(t: Trail, type: TrailEvent["type"]): Trail | undefined {
+  const cached = transitionCache.get(t) ?? new Map<TrailEvent["type"], Trail | undefined>();
+  transitionCache.set(t, cached);
+  if (cached.has(type)) return cached.get(type);
   const next = t.can({ type }) ? xstate.transition(machine, t, { type })[0] : undefined;
-  known.set(type, next);
+  cached.set(type, next);
   return next;
 }
 
-/** Whether another attempt may be sent. */
+/** Whether another attempt may be sent now. */
 export function maySend(t: Trail): boolean {
-  return after(t, "send") !== undefined;
+  return nextTrail(t, "send") !== undefined;
 }
 
-/** The trail after `type`. Throws RangeError where that may not happen. */
+/** Returns the state after event `type`. Throws RangeError when the event is not allowed. */
 export function step(t: Trail, type: TrailEvent["type"]): Trail {
-  const next = after(t, type);
-  if (!next) throw new RangeError(`a request that is ${t.value} cannot be ${type}`);
+  const next = nextTrail(t, type);
+  if (!next) throw new RangeError(`a request in state ${t.value} does not allow event ${type}`);
   return next;
 }
 
-/** What may be told of a request that got no whole answer. */
+/** Returns the outcome to report for a request that did not get a complete answer. */
 export function verdict(t: Trail): outcome.Outcome {
   switch (t.value) {
     case "waiting":
--- a/src/store/budget.ts
+++ b/src/store/budget.ts
@@ -1,5 +1,6 @@
 /**
- * A token bucket, as a value. It bounds calls to the store, retries and callers' rates.
+ * A token bucket as an immutable value. It limits the rates of calls to the store, of retries and of
+ * callers' requests.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -7,51 +8,55 @@
 
 const MS_PER_S = 1000;
 
-/** Tokens at a moment. */
+/** The state of a token bucket. */
 export interface Bucket {
-  /** Tokens a second that flow in. */
+  /** Tokens added per second. */
   readonly rate: number;
-  /** Tokens it holds at most. */
+  /** Capacity in tokens. */
   readonly size: number;
+  /** Tokens available at time `at`. */
   readonly tokens: number;
-  /** Reading of the steady clock, in ms, that `tokens` holds for. */
+  /** Time of the steady clock, in ms, at which `tokens` was computed. */
   readonly at: number;
 }
 
-/** A full bucket at time `at`. */
+/** Creates a bucket that is full at time `at`. */
 export function full(rate: number, size: number, at: number): Bucket {
-  if (!(rate > 0) || !(size >= 1)) throw new RangeError(`no bucket of rate ${rate}, size ${size}`);
+  if (!(rate > 0) || !(size >= 1))
+    throw new RangeError(`invalid token bucket: rate ${rate}, size ${size}`);
   return { rate, size, tokens: size, at };
 }
 
-/** The bucket at `now`, with what flowed in since. */
+/** Returns the bucket at time `now`, with the tokens added since. */
 export function fill(b: Bucket, now: number): Bucket {
-  const flowed = (Math.max(0, now - b.at) / MS_PER_S) * b.rate;
-  return { ...b, tokens: Math.min(b.size, b.tokens + flowed), at: Math.max(b.at, now) };
+  const added = (Math.max(0, now - b.at) / MS_PER_S) * b.rate;
+  return { ...b, tokens: Math.min(b.size, b.tokens + added), at: Math.max(b.at, now) };
 }
 
-/** The bucket after taking `n` tokens, or the milliseconds to wait when it holds fewer. */
+/** Takes `n` tokens and returns the new bucket, or the milliseconds to wait when it holds fewer. */
 export function take(
   b: Bucket,
   now: number,
   n = 1,
 ):
   { readonly ok: true; readonly bucket: Bucket } | { readonly ok: false; readonly waitMs: number } {
-  const at = fill(b, now);
-  if (at.tokens >= n) return { ok: true, bucket: { ...at, tokens: at.tokens - n } };
-  return { ok: false, waitMs: Math.ceil(((n - at.tokens) / b.rate) * MS_PER_S) };
+  const filled = fill(b, now);
+  if (filled.tokens >= n) return { ok: true, bucket: { ...filled, tokens: filled.tokens - n } };
+  return { ok: false, waitMs: Math.ceil(((n - filled.tokens) / b.rate) * MS_PER_S) };
 }
 
-/** Spends one unit on a call, or throws a `StepError` of outcome `not_run` when none is left. */
+/**
+ * Takes one token for the call named `what`. Throws a `StepError` with outcome `not_run` when none is left.
+ */
 export type Spend = (what: string) => void;
 
-/** Counts of what was spent and refused, for `status`. */
+/** Numbers of calls made and refused, for `status`. */
 export interface Count {
   readonly spent: number;
   readonly refused: number;
 }
 
-/** A budget of calls a second to one peer, with its running count. */
+/** Creates a budget of `rate` calls per second to one peer, and counts the calls. */
 export function meter(clk: clock.Clock, rate: number, peer: string) {
   let bucket = full(rate, rate, clk.steady());
   let count: Count = { spent: 0, refused: 0 };
@@ -67,7 +72,7 @@
       "overloaded",
       "store",
       peer,
-      `The budget of ${rate} calls a second is spent; ${what} was not called.`,
+      `The budget of ${rate} calls per second is used up; ${what} was not called.`,
       taken.waitMs,
     );
   };
--- a/src/store/etcd.ts
+++ b/src/store/etcd.ts
@@ -1,5 +1,5 @@
 /**
- * The store over etcd's v3 HTTP/JSON gateway (`/v3/kv/range`, `/v3/kv/txn`, `/v3/lease/grant`,
+ * Implements the store on etcd's v3 HTTP/JSON gateway (`/v3/kv/range`, `/v3/kv/txn`, `/v3/lease/grant`,
  * `/v3/lease/keepalive`, `/v3/watch`).
  * @module
  */
@@ -11,7 +11,7 @@
 
 const MS_PER_S = 1000;
 
-/** Keys and values travel in base64, 64-bit numbers as decimal strings. */
+/** The gateway encodes keys and values in base64, and 64-bit numbers as decimal strings. */
 const b64 = (s: string): string => Buffer.from(s).toString("base64");
 const unb64 = (s: string): string => Buffer.from(s, "base64").toString();
 
@@ -21,19 +21,21 @@
   mod_revision: zod.coerce.number(),
 });
 const header = zod.object({ revision: zod.coerce.number().default(0) });
-const ranged = zod.object({ kvs: zod.array(kv).default([]) });
-const inner = zod.object({
+const rangeResponse = zod.object({ kvs: zod.array(kv).default([]) });
+const nestedTxnResponse = zod.object({
   succeeded: zod.boolean().default(false),
-  responses: zod.array(zod.object({ response_range: ranged.optional() })).default([]),
+  responses: zod.array(zod.object({ response_range: rangeResponse.optional() })).default([]),
 });
-const committed = zod.object({
+const txnResponse = zod.object({
   header,
   succeeded: zod.boolean().default(false),
-  responses: zod.array(zod.object({ response_txn: inner.optional() })).default([]),
+  responses: zod.array(zod.object({ response_txn: nestedTxnResponse.optional() })).default([]),
 });
-const granted = zod.object({ ID: zod.string(), TTL: zod.coerce.number() });
-const kept = zod.object({ result: zod.object({ TTL: zod.coerce.number().default(0) }) });
-const watched = zod.object({
+const grantResponse = zod.object({ ID: zod.string(), TTL: zod.coerce.number() });
+const keepAliveResponse = zod.object({
+  result: zod.object({ TTL: zod.coerce.number().default(0) }),
+});
+const watchResponse = zod.object({
   result: zod.object({
     created: zod.boolean().default(false),
     canceled: zod.boolean().default(false),
@@ -45,12 +47,13 @@
   }),
 });
 
-/** Where the store is and how patient to be with it. */
+/** Address of the store, and bounds on calls to it. */
 export interface Options {
-  /** E.g. `http://127.0.0.1:2379`. */
+  /** Base URL, e.g. `http://127.0.0.1:2379`. */
   readonly url: string;
+  /** Milliseconds after which a call fails; for a watch this bounds only its start. */
   readonly timeoutMs: number;
-  /** Spends one unit a call; see {@link budget}. */
+  /** Takes one token per call; see {@link tokenBucket}. */
   readonly spend: budget.Spend;
 }
 
@@ -58,8 +61,8 @@
   return { key: unb64(e.key), value: unb64(e.value), revision: e.mod_revision };
 }
 
-/** The end of the range of keys that begin with `prefix`. */
-function endOf(prefix: string): string {
+/** Returns the exclusive end of the range of keys that begin with `prefix`. */
+function prefixEnd(prefix: string): string {
   const last = prefix.length - 1;
   return prefix.slice(0, last) + String.fromCharCode(prefix.charCodeAt(last) + 1);
 }
@@ -68,7 +71,7 @@
   return { key: b64(p.key), value: b64(p.value), ...(p.lease && { lease: p.lease }) };
 }
 
-/** Opens the store at `opts.url`; no call is made until one is asked for. */
+/** Returns a client of the store at `opts.url`. Makes no call by itself. */
 export function open(opts: Options): store.Store {
   const agent = new undici.Agent({ headersTimeout: opts.timeoutMs, bodyTimeout: opts.timeoutMs });
 
@@ -86,14 +89,15 @@
       if (res.statusCode !== 200)
         throw new Error(`status ${res.statusCode}: ${text.slice(0, 200)}`);
     } catch (err) {
-      throw failed(path, err);
+      throw toStepError(path, err);
     }
     const parsed = schema.safeParse(JSON.parse(text));
-    if (!parsed.success) throw failed(path, new Error("an answer of another shape"));
+    if (!parsed.success)
+      throw toStepError(path, new Error("the response does not match the expected schema"));
     return parsed.data;
   }
 
-  function failed(path: string, err: unknown): outcome.StepError {
+  function toStepError(path: string, err: unknown): outcome.StepError {
     const why = err instanceof Error ? err.message : String(err);
     return new outcome.StepError({
       code: "link_broken",
@@ -106,13 +110,13 @@
 
   return {
     read: async (key) => {
-      const res = await call("/v3/kv/range", { key: b64(key) }, ranged);
+      const res = await call("/v3/kv/range", { key: b64(key) }, rangeResponse);
       return res.kvs[0] && toEntry(res.kvs[0]);
     },
     range: async (prefix, limit, after) => {
-      const from = after === undefined ? prefix : `${after}\0`;
-      const body = { key: b64(from), range_end: b64(endOf(prefix)), limit };
-      return (await call("/v3/kv/range", body, ranged)).kvs.map(toEntry);
+      const startKey = after === undefined ? prefix : `${after}\0`;
+      const body = { key: b64(startKey), range_end: b64(prefixEnd(prefix)), limit };
+      return (await call("/v3/kv/range", body, rangeResponse)).kvs.map(toEntry);
     },
     commit: async (txn) => {
       const body = {
@@ -127,7 +131,7 @@
           ...(txn.deletes ?? []).map((k) => ({ request_delete_range: { key: b64(k) } })),
         ],
       };
-      const res = await call("/v3/kv/txn", body, committed);
+      const res = await call("/v3/kv/txn", body, txnResponse);
       return { ok: res.succeeded, revision: res.header.revision };
     },
     create: async (puts) => {
@@ -140,21 +144,27 @@
           },
         })),
       };
-      const res = await call("/v3/kv/txn", body, committed);
+      const res = await call("/v3/kv/txn", body, txnResponse);
       return puts.map((_, i) => {
-        const one = res.responses[i]?.response_txn;
-        if (!one) throw failed("/v3/kv/txn", new Error("an answer for fewer keys than asked"));
-        const there = one.succeeded ? undefined : one.responses[0]?.response_range?.kvs[0];
-        return there && toEntry(there);
+        const response = res.responses[i]?.response_txn;
+        if (!response)
+          throw toStepError(
+            "/v3/kv/txn",
+            new Error("the response covers fewer keys than requested"),
+          );
+        const existing = response.succeeded
+          ? undefined
+          : response.responses[0]?.response_range?.kvs[0];
+        return existing && toEntry(existing);
       });
     },
     grant: async (ttlMs) => {
       const body = { TTL: String(Math.ceil(ttlMs / MS_PER_S)), ID: "0" };
-      const res = await call("/v3/lease/grant", body, granted);
+      const res = await call("/v3/lease/grant", body, grantResponse);
       return { id: res.ID, ttlMs: res.TTL * MS_PER_S };
     },
     keepAlive: async (id) => {
-      const res = await call("/v3/lease/keepalive", { ID: id }, kept);
+      const res = await call("/v3/lease/keepalive", { ID: id }, keepAliveResponse);
       return res.result.TTL * MS_PER_S;
     },
     watch: async (prefix, signal, watcher) => {
@@ -166,27 +176,27 @@
           headersTimeout: opts.timeoutMs,
           bodyTimeout: 0,
           body: JSON.stringify({
-            create_request: { key: b64(prefix), range_end: b64(endOf(prefix)) },
+            create_request: { key: b64(prefix), range_end: b64(prefixEnd(prefix)) },
           }),
         });
-        let rest = "";
+        let partialLine = "";
         res.body.setEncoding("utf8");
         for await (const part of res.body as AsyncIterable<string>) {
-          const lines = (rest + part).split("\n");
-          rest = lines.pop() ?? "";
-          for (const line of lines) follow(line, watcher);
+          const lines = (partialLine + part).split("\n");
+          partialLine = lines.pop() ?? "";
+          for (const line of lines) handleWatchLine(line, watcher);
         }
       } catch (err) {
-        if (!signal.aborted) throw failed("/v3/watch", err);
+        if (!signal.aborted) throw toStepError("/v3/watch", err);
       }
     },
   };
 }
 
-/** Tells `watcher` what one line of a watch says; a cancelled watch throws. */
-function follow(line: string, watcher: store.Watcher): void {
+/** Passes the events in one line of a watch response to `watcher`. Throws when the store cancelled the watch. */
+function handleWatchLine(line: string, watcher: store.Watcher): void {
   if (line.trim() === "") return;
-  const { result } = watched.parse(JSON.parse(line));
+  const { result } = watchResponse.parse(JSON.parse(line));
   if (result.canceled) throw new Error("the store cancelled the watch");
   if (result.created) watcher.opened();
   for (const e of result.events) {
--- a/src/store/hosts.ts
+++ b/src/store/hosts.ts
@@ -1,29 +1,30 @@
 /**
- * The platform's list of hosts: which daemons are there and which are leaving. It lags, so it says
- * where to look, and the daemons themselves say how they are.
+ * The platform's list of hosts: which daemons exist, and which are shutting down. The list lags, so it
+ * is used only to find the daemons; their state is read from the daemons themselves.
  * @module
  */
 import * as undici from "undici";
 import * as zod from "zod";
 import * as outcome from "../request/outcome.js";
 
-/** One daemon as the platform lists it. */
+/** One daemon in the platform's list. */
 export interface Member {
-  /** Name of the daemon; an endpoint daemon has the name of its Endpoint object. */
+  /** Name of the daemon; for an endpoint daemon, the name of its Endpoint object. */
   readonly name: string;
   readonly role: "entry" | "endpoint";
   readonly failureDomain: string;
-  /** IP number and port of its link server, e.g. `127.0.0.1:7000`. */
+  /** IP address and port on which the daemon accepts requests of other daemons, e.g. `127.0.0.1:7000`. */
   readonly address: string;
+  /** Whether the platform is terminating the daemon. */
   readonly leaving: boolean;
 }
 
-/** The list. Throws a `StepError` of step `hosts`. */
+/** Access to the list of hosts. `list` throws a `StepError` of step `hosts` when the list cannot be read. */
 export interface Hosts {
   readonly list: () => Promise<readonly Member[]>;
 }
 
-const slice = zod.object({
+const sliceList = zod.object({
   items: zod.array(
     zod.object({
       metadata: zod.object({
@@ -45,13 +46,13 @@
 });
 
 /**
- * Reads the list in the shape of Kubernetes' EndpointSlice list
- * (`GET /apis/discovery.k8s.io/v1/endpointslices`), one slice a daemon. An unchanged list costs a
- * 304 by its ETag.
+ * Reads the list in the format of Kubernetes' EndpointSlice list
+ * (`GET /apis/discovery.k8s.io/v1/endpointslices`), with one slice per daemon. Sends the last ETag, so
+ * that an unchanged list is answered with a 304.
  */
 export function endpointSlices(url: string, timeoutMs: number): Hosts {
   let etag = "";
-  let last: readonly Member[] = [];
+  let lastMembers: readonly Member[] = [];
   return {
     list: async () => {
       try {
@@ -60,20 +61,25 @@
           signal: AbortSignal.timeout(timeoutMs),
         });
         const text = await res.body.text();
-        if (res.statusCode === 304) return last;
+        if (res.statusCode === 304) return lastMembers;
         if (res.statusCode !== 200) throw new Error(`status ${res.statusCode}`);
-        last = toMembers(slice.parse(JSON.parse(text)));
+        lastMembers = toMembers(sliceList.parse(JSON.parse(text)));
         etag = typeof res.headers.etag === "string" ? res.headers.etag : "";
-        return last;
+        return lastMembers;
       } catch (err) {
         const why = err instanceof Error ? err.message : String(err);
-        throw outcome.notRun("link_broken", "hosts", url, `The list of hosts is out: ${why}.`);
+        throw outcome.notRun(
+          "link_broken",
+          "hosts",
+          url,
+          `The list of hosts could not be read: ${why}.`,
+        );
       }
     },
   };
 }
 
-function toMembers(list: zod.infer<typeof slice>): readonly Member[] {
+function toMembers(list: zod.infer<typeof sliceList>): readonly Member[] {
   return list.items.flatMap((s) =>
     s.endpoints.map((e) => ({
       name: s.metadata.name,
--- a/src/store/journal.ts
+++ b/src/store/journal.ts
@@ -1,6 +1,6 @@
 /**
- * The intent as the store keeps it: a head, a log of changesets, and now and then a snapshot in
- * parts. One change is one compare-and-swap of the head whatever its size, and one event to a watch.
+ * How the intent is kept in the store: a head, a log of changesets, and from time to time a snapshot
+ * in several parts. A change of any size is one compare-and-swap of the head, and one event for a watch.
  * @module
  */
 import * as zod from "zod";
@@ -9,17 +9,22 @@
 import * as outcome from "../request/outcome.js";
 import type * as store from "./store.js";
 
-/** Prefix of everything the system keeps. */
+/** Prefix of all keys that the system writes. */
 export const ROOT = "/sumacfield/";
+/** Key of the head. */
 export const HEAD = `${ROOT}intent/head`;
-const LOG = `${ROOT}intent/log/`;
-const SNAPSHOT = `${ROOT}intent/snapshot/`;
-const DIGITS = 12;
-/** Changesets read in one call. */
-const PAGE = 64;
-/** The store takes values of up to a megabyte; parts and changesets stay below it. */
+const LOG_PREFIX = `${ROOT}intent/log/`;
+const SNAPSHOT_PREFIX = `${ROOT}intent/snapshot/`;
+/** Width to which numbers in keys are zero-padded, so that keys sort by number. */
+const KEY_DIGITS = 12;
+/** Maximum number of changesets read in one call. */
+const PAGE_SIZE = 64;
+/**
+ * Maximum length of a changeset or of one part of a snapshot, in characters of JSON. The store accepts
+ * values of up to one megabyte.
+ */
 export const VALUE_LIMIT = 900_000;
-/** Changesets after which the next writer leaves a snapshot. */
+/** Number of changesets since the last snapshot after which the next writer makes another. */
 export const SNAPSHOT_EVERY = 200;
 
 const headSchema = zod.object({
@@ -28,19 +33,23 @@
   id: zod.string().default(""),
   snapshot: zod.object({ revision: zod.int(), id: zod.string(), parts: zod.int() }).optional(),
 });
-/** The newest revision, and where the newest snapshot is. */
+/** The newest revision, and the revision and number of parts of the newest snapshot. */
 export type Head = zod.infer<typeof headSchema>;
 
-const logKey = (revision: number): string => LOG + String(revision).padStart(DIGITS, "0");
+const logKey = (revision: number): string =>
+  LOG_PREFIX + String(revision).padStart(KEY_DIGITS, "0");
 const partKey = (revision: number, part: number): string =>
-  `${SNAPSHOT}${String(revision).padStart(DIGITS, "0")}/${String(part).padStart(DIGITS, "0")}`;
+  `${SNAPSHOT_PREFIX}${String(revision).padStart(KEY_DIGITS, "0")}/${String(part).padStart(KEY_DIGITS, "0")}`;
 
-/** Reads the head from the value under {@link HEAD}. */
+/** Parses the head from the value under {@link HEAD_KEY}. */
 export function parseHead(value: string): Head {
   return headSchema.parse(JSON.parse(value));
 }
 
-/** The head and the store's revision of it, for a compare; revision 0 when nothing was ever applied. */
+/**
+ * Reads the head and its revision in the store, which a compare needs. The revision is 0 when nothing
+ * was ever applied.
+ */
 export async function readHead(
   st: store.Store,
 ): Promise<{ readonly head: Head; readonly revision: number }> {
@@ -49,61 +58,65 @@
   return { head: parseHead(entry.value), revision: entry.revision };
 }
 
-/** Changesets after `revision`, oldest first, one page of them. */
+/** Reads one page of the changesets after `revision`, oldest first. */
 export async function readAfter(
   st: store.Store,
   revision: number,
 ): Promise<readonly intent.Changeset[]> {
-  const entries = await st.range(LOG, PAGE, logKey(revision));
+  const entries = await st.range(LOG_PREFIX, PAGE_SIZE, logKey(revision));
   return entries.map((e) => intent.changeset.parse(JSON.parse(e.value)));
 }
 
-/** Brings `from` up to the store's head; by the snapshot where the log no longer reaches back. */
+/** Advances `from` to the store's head, from the newest snapshot if that is newer than `from`. */
 export async function catchUp(st: store.Store, from: intent.Intent): Promise<intent.Intent> {
   const { head } = await readHead(st);
-  let now = from;
-  if (head.snapshot && head.snapshot.revision > now.revision) {
-    now = await readSnapshot(st, head.snapshot);
+  let current = from;
+  if (head.snapshot && head.snapshot.revision > current.revision) {
+    current = await readSnapshot(st, head.snapshot);
   }
-  while (now.revision < head.revision) {
-    const page = await readAfter(st, now.revision);
+  while (current.revision < head.revision) {
+    const page = await readAfter(st, current.revision);
     if (page.length === 0) break;
-    now = page.reduce(intent.step, now);
+    current = page.reduce(intent.step, current);
   }
-  return now;
+  return current;
 }
 
 async function readSnapshot(
   st: store.Store,
-  at: NonNullable<Head["snapshot"]>,
+  pointer: NonNullable<Head["snapshot"]>,
 ): Promise<intent.Intent> {
   const found = new Map<string, objects.Obj>();
-  for (let part = 0; part < at.parts; part++) {
-    const entry = await st.read(partKey(at.revision, part));
-    if (!entry) throw new RangeError(`part ${part} of the snapshot at ${at.revision} is missing`);
+  for (let part = 0; part < pointer.parts; part++) {
+    const entry = await st.read(partKey(pointer.revision, part));
+    if (!entry)
+      throw new RangeError(
+        `part ${part} of the snapshot at revision ${pointer.revision} is missing`,
+      );
     for (const o of zod.array(objects.schema).parse(JSON.parse(entry.value))) {
       found.set(objects.keyOf(o), o);
     }
   }
-  return { revision: at.revision, id: at.id, objects: found };
+  return { revision: pointer.revision, id: pointer.id, objects: found };
 }
 
-/** What became of an attempt to add a changeset. */
+/** The result of an attempt to append a changeset. */
 export type Added =
   | { readonly kind: "accepted"; readonly revision: number }
+  /** The changeset does not follow the head; `head` is the head's revision. */
   | { readonly kind: "conflict"; readonly head: number }
-  /** The store did not answer, before and after; `apply` says how to settle it. */
+  /** The store answered neither the write nor the read that followed; `apply` tells operators how to find out. */
   | { readonly kind: "unknown"; readonly why: string };
 
 /**
- * Adds a changeset that follows revision `change.revision - 1`. After a lost reply the log is read
- * to tell whether this very attempt was written.
+ * Appends a changeset that follows revision `change.revision - 1`. After a lost reply, reads the log to
+ * find out whether this attempt was written.
  */
 export async function add(st: store.Store, change: intent.Changeset): Promise<Added> {
   const value = JSON.stringify(change);
   if (value.length > VALUE_LIMIT) {
     throw new RangeError(
-      `the changeset has ${value.length} bytes, over the ${VALUE_LIMIT} that the store holds under one key; apply it in parts`,
+      `the changeset has ${value.length} bytes, more than the ${VALUE_LIMIT} that the store accepts for one key; split it into several`,
     );
   }
   try {
@@ -112,14 +125,14 @@
       return { kind: "conflict", head: head.revision };
     }
     const next: Head = { ...head, revision: change.revision, id: change.id };
-    const done = await st.commit({
+    const result = await st.commit({
       compares: [{ key: HEAD, revision }],
       puts: [
         { key: HEAD, value: JSON.stringify(next) },
         { key: logKey(change.revision), value },
       ],
     });
-    if (done.ok) return { kind: "accepted", revision: change.revision };
+    if (result.ok) return { kind: "accepted", revision: change.revision };
     return await settle(st, change);
   } catch (err) {
     if (!(err instanceof outcome.StepError)) throw err;
@@ -127,57 +140,65 @@
   }
 }
 
-/** Whether `change` stands in the log; read after a reply was lost. */
+/** Reads the log to find out whether `change` was appended, after a reply was lost. */
 export async function settle(st: store.Store, change: intent.Changeset): Promise<Added> {
-  const there = await st.read(logKey(change.revision));
-  if (there && intent.changeset.parse(JSON.parse(there.value)).id === change.id) {
+  const entry = await st.read(logKey(change.revision));
+  if (entry && intent.changeset.parse(JSON.parse(entry.value)).id === change.id) {
     return { kind: "accepted", revision: change.revision };
   }
   const { head } = await readHead(st);
   return { kind: "conflict", head: head.revision };
 }
 
-/** Writes a snapshot of `now` when the last one is old, and points the head to it. */
+/**
+ * Writes a snapshot of `current` and points the head to it, if the last snapshot is at least `every`
+ * revisions older. Returns whether it was written.
+ */
 export async function snapshot(
   st: store.Store,
-  now: intent.Intent,
+  current: intent.Intent,
   every = SNAPSHOT_EVERY,
 ): Promise<boolean> {
   const { head, revision } = await readHead(st);
-  const since = now.revision - (head.snapshot?.revision ?? 0);
-  if (since < every || head.revision < now.revision) return false;
-  return point(st, now, head, revision);
+  const since = current.revision - (head.snapshot?.revision ?? 0);
+  if (since < every || head.revision < current.revision) return false;
+  return writeSnapshot(st, current, head, revision);
 }
 
-/** Makes `now` the whole of what the store holds, as after a loss; never an older revision. */
-export async function replace(st: store.Store, now: intent.Intent): Promise<boolean> {
+/**
+ * Replaces the intent in the store by `current`, as after the store lost data. Does nothing and returns
+ * false if the store has a newer revision.
+ */
+export async function replace(st: store.Store, current: intent.Intent): Promise<boolean> {
   const { head, revision } = await readHead(st);
-  if (head.revision > now.revision) return false;
-  return point(st, now, { revision: now.revision, id: now.id }, revision);
+  if (head.revision > current.revision) return false;
+  return writeSnapshot(st, current, { revision: current.revision, id: current.id }, revision);
 }
 
-async function point(
+/** Writes a snapshot in parts, then `head` with a pointer to it. Returns false if the head has changed meanwhile. */
+async function writeSnapshot(
   st: store.Store,
-  now: intent.Intent,
+  current: intent.Intent,
   head: Head,
   revision: number,
 ): Promise<boolean> {
-  const parts = split([...now.objects.values()]);
+  const parts = splitIntoParts([...current.objects.values()]);
   for (const [i, value] of parts.entries()) {
-    await st.commit({ compares: [], puts: [{ key: partKey(now.revision, i), value }] });
+    await st.commit({ compares: [], puts: [{ key: partKey(current.revision, i), value }] });
   }
   const next: Head = {
     ...head,
-    snapshot: { revision: now.revision, id: now.id, parts: parts.length },
+    snapshot: { revision: current.revision, id: current.id, parts: parts.length },
   };
-  const done = await st.commit({
+  const result = await st.commit({
     compares: [{ key: HEAD, revision }],
     puts: [{ key: HEAD, value: JSON.stringify(next) }],
   });
-  return done.ok;
+  return result.ok;
 }
 
-function split(all: readonly objects.Obj[]): readonly string[] {
+/** Encodes objects as JSON arrays, each short enough for one key. */
+function splitIntoParts(all: readonly objects.Obj[]): readonly string[] {
   const parts: string[] = [];
   let part: string[] = [];
   let size = 0;
--- a/src/store/lease.ts
+++ b/src/store/lease.ts
@@ -1,6 +1,7 @@
 /**
- * The hold of one endpoint daemon on its engine: a key under a lease, whose revision in the store is
- * the fencing number. Two daemons on one engine by mistake cannot both have it.
+ * The exclusive lease of an endpoint daemon on its engine: a key under a lease in the store. The key's
+ * revision in the store is the fencing number. If two daemons are started on one engine by mistake,
+ * only one of them holds the lease.
  * @module
  */
 import * as xstate from "xstate";
@@ -10,27 +11,33 @@
 import * as journal from "./journal.js";
 import type * as store from "./store.js";
 
+/** Settings of {@link LeaseHolder}. */
 export interface Options {
   /** Name of the Endpoint. */
   readonly endpoint: string;
+  /** Identifies this run of the daemon. */
   readonly epoch: string;
+  /** Milliseconds for which the lease is granted and renewed. */
   readonly ttlMs: number;
 }
 
+/** What {@link LeaseHolder} depends on. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: log.Log;
   readonly store: store.Store;
 }
 
-const owner = zod.object({ epoch: zod.string() });
-const last = zod.object({
+/** The value under the holder's key, which vanishes with the lease. */
+const holderRecord = zod.object({ epoch: zod.string() });
+/** The value under the last holder's key, which stays when the lease lapses. */
+const lastHolderRecord = zod.object({
   epoch: zod.string(),
   handedOver: zod.boolean(),
-  /** Holders before it that handed over, one to the next without a gap. */
+  /** Epochs of the previous holders, up to the last one that did not hand over properly. */
   trusted: zod.array(zod.string()).readonly(),
 });
-type Last = zod.infer<typeof last>;
+type LastHolder = zod.infer<typeof lastHolderRecord>;
 
 const machine = xstate
   .setup({ types: { events: {} as { type: "took" } | { type: "lapsed" } | { type: "beaten" } } })
@@ -40,131 +47,136 @@
     states: {
       none: { on: { took: "held", beaten: "lost" } },
       held: { on: { lapsed: "lapsed", beaten: "lost" } },
-      // Nobody else was seen to have it, and it may not be claimed to be held.
+      // The lease may have expired, so it must not be treated as held; no other holder was seen.
       lapsed: { on: { took: "held", beaten: "lost" } },
       lost: { on: { took: "held" } },
     },
   });
 
-const KEEPALIVES = 3;
-/** Former holders remembered as trusted. */
-const TRUSTED = 16;
+/** Number of keep-alives in the lifetime of a lease. */
+const KEEPALIVES_PER_TTL = 3;
+/** Maximum number of previous holders in the record. */
+const MAX_TRUSTED = 16;
 
-/** Takes the lease and keeps it alive; one per endpoint daemon. */
+/** Acquires the lease and keeps it alive; one per endpoint daemon. */
 export class Holder {
-  private readonly life = xstate.createActor(machine);
+  private readonly stateMachine = xstate.createActor(machine);
   private lease: store.Lease | undefined;
-  private number = 0;
+  private lastFencingNumber = 0;
   private keyRevision = 0;
-  private until = 0;
+  private expiresAt = 0;
   private trusted: readonly string[] = [];
 
   constructor(
     private readonly opts: Options,
     private readonly deps: Deps,
   ) {
-    this.life.start();
+    this.stateMachine.start();
   }
 
-  private get key(): string {
+  private get holderKey(): string {
     return `${journal.ROOT}holders/${this.opts.endpoint}`;
   }
 
-  private get lastKey(): string {
+  private get lastHolderKey(): string {
     return `${journal.ROOT}last-holders/${this.opts.endpoint}`;
   }
 
-  /** Whether the lease is held, lapsed, lost to another or was never had. */
+  /** Whether the lease is held, has lapsed, was lost to another daemon, or was never held. */
   state(): "none" | "held" | "lapsed" | "lost" {
-    if (this.life.getSnapshot().value === "held" && this.deps.clock.mono() >= this.until) {
-      this.life.send({ type: "lapsed" });
+    if (
+      this.stateMachine.getSnapshot().value === "held" &&
+      this.deps.clock.mono() >= this.expiresAt
+    ) {
+      this.stateMachine.send({ type: "lapsed" });
     }
-    return this.life.getSnapshot().value;
+    return this.stateMachine.getSnapshot().value;
   }
 
-  /** The fencing number last had; 0 for none. */
+  /** The fencing number of the last lease held; 0 if there was none. */
   fence(): number {
-    return this.number;
+    return this.lastFencingNumber;
   }
 
   /**
-   * Whether the daemon that lived as `epoch` gives this engine no more orders: it handed over, and so
-   * did each holder since.
+   * Whether the former holder with this epoch certainly sends no more orders to the engine: it handed
+   * over, and so did every holder after it.
    */
   trusts(epoch: string): boolean {
     return this.trusted.includes(epoch);
   }
 
-  /** Milliseconds until the next turn of {@link step}. */
+  /** Milliseconds between two calls of {@link renewOrAcquire}. */
   get everyMs(): number {
-    return this.opts.ttlMs / KEEPALIVES;
+    return this.opts.ttlMs / KEEPALIVES_PER_TTL;
   }
 
-  /** Keeps the lease alive, or tries to take it. Throws when the store does not answer. */
+  /** Renews the lease, or tries to acquire it. Throws when the store does not answer. */
   async step(): Promise<void> {
     if (this.lease && this.state() !== "lost") {
-      const asked = this.deps.clock.mono();
-      const left = await this.deps.store.keepAlive(this.lease.id);
-      if (left > 0) {
-        this.until = asked + left;
-        this.life.send({ type: "took" });
+      const sentAt = this.deps.clock.mono();
+      const remainingMs = await this.deps.store.keepAlive(this.lease.id);
+      if (remainingMs > 0) {
+        this.expiresAt = sentAt + remainingMs;
+        this.stateMachine.send({ type: "took" });
         return;
       }
       this.lease = undefined;
-      this.life.send({ type: "lapsed" });
+      this.stateMachine.send({ type: "lapsed" });
     }
-    await this.take();
+    await this.acquire();
   }
 
-  private async take(): Promise<void> {
-    const there = await this.deps.store.read(this.key);
-    if (there && owner.parse(JSON.parse(there.value)).epoch !== this.opts.epoch) {
+  private async acquire(): Promise<void> {
+    const current = await this.deps.store.read(this.holderKey);
+    if (current && holderRecord.parse(JSON.parse(current.value)).epoch !== this.opts.epoch) {
       if (this.state() !== "lost") this.deps.log.warn("Another daemon holds this engine.");
-      this.life.send({ type: "beaten" });
+      this.stateMachine.send({ type: "beaten" });
       return;
     }
-    const before = await this.deps.store.read(this.lastKey);
-    const asked = this.deps.clock.mono();
+    const previous = await this.deps.store.read(this.lastHolderKey);
+    const sentAt = this.deps.clock.mono();
     const lease = await this.deps.store.grant(this.opts.ttlMs);
-    const trusted = trustedAfter(before, this.opts.epoch);
-    const mark: Last = { epoch: this.opts.epoch, handedOver: false, trusted };
-    const done = await this.deps.store.commit({
+    const trusted = trustedAfter(previous, this.opts.epoch);
+    const record: LastHolder = { epoch: this.opts.epoch, handedOver: false, trusted };
+    const result = await this.deps.store.commit({
       compares: [
-        { key: this.key, revision: there?.revision ?? 0 },
-        { key: this.lastKey, revision: before?.revision ?? 0 },
+        { key: this.holderKey, revision: current?.revision ?? 0 },
+        { key: this.lastHolderKey, revision: previous?.revision ?? 0 },
       ],
       puts: [
-        { key: this.key, value: JSON.stringify({ epoch: this.opts.epoch }), lease: lease.id },
-        { key: this.lastKey, value: JSON.stringify(mark) },
+        { key: this.holderKey, value: JSON.stringify({ epoch: this.opts.epoch }), lease: lease.id },
+        { key: this.lastHolderKey, value: JSON.stringify(record) },
       ],
     });
-    if (!done.ok) return;
+    if (!result.ok) return;
     this.lease = lease;
-    this.until = asked + lease.ttlMs;
-    this.number = done.revision;
-    this.keyRevision = done.revision;
+    this.expiresAt = sentAt + lease.ttlMs;
+    this.lastFencingNumber = result.revision;
+    this.keyRevision = result.revision;
     this.trusted = trusted;
-    this.life.send({ type: "took" });
-    this.deps.log.info(`The engine is held with fencing number ${done.revision}.`);
+    this.stateMachine.send({ type: "took" });
+    this.deps.log.info(`Acquired the engine lease with fencing number ${result.revision}.`);
   }
 
-  /** Gives the lease back, saying that no order of this holder is on its way any more. */
+  /** Releases the lease and records that none of this holder's orders is in flight any more. */
   async handOver(): Promise<void> {
     if (!this.lease) return;
-    const mark: Last = { epoch: this.opts.epoch, handedOver: true, trusted: this.trusted };
+    const record: LastHolder = { epoch: this.opts.epoch, handedOver: true, trusted: this.trusted };
     await this.deps.store.commit({
-      compares: [{ key: this.key, revision: this.keyRevision }],
-      puts: [{ key: this.lastKey, value: JSON.stringify(mark) }],
-      deletes: [this.key],
+      compares: [{ key: this.holderKey, revision: this.keyRevision }],
+      puts: [{ key: this.lastHolderKey, value: JSON.stringify(record) }],
+      deletes: [this.holderKey],
     });
     this.lease = undefined;
-    this.life.send({ type: "lapsed" });
+    this.stateMachine.send({ type: "lapsed" });
   }
 }
 
-function trustedAfter(before: store.Entry | undefined, epoch: string): readonly string[] {
-  if (!before) return [];
-  const mark = last.parse(JSON.parse(before.value));
-  if (mark.epoch === epoch) return mark.trusted;
-  return mark.handedOver ? [...mark.trusted, mark.epoch].slice(-TRUSTED) : [];
+/** The epochs that a new holder `epoch` can trust to send no more orders. */
+function trustedAfter(previous: store.Entry | undefined, epoch: string): readonly string[] {
+  if (!previous) return [];
+  const record = lastHolderRecord.parse(JSON.parse(previous.value));
+  if (record.epoch === epoch) return record.trusted;
+  return record.handedOver ? [...record.trusted, record.epoch].slice(-MAX_TRUSTED) : [];
 }
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -1,62 +1,64 @@
 /**
- * The platform's key-value service, as narrow as the system needs it.
+ * The interface to the platform's key-value store, limited to what the system uses.
  * @module
  */
 
-/** One key as the store holds it. */
+/** One key and its value in the store. */
 export interface Entry {
   readonly key: string;
   readonly value: string;
-  /** Store revision of the last write to this key; 0 stands for "no such key". */
+  /** Store revision of the last write to this key; 0 means that the key does not exist. */
   readonly revision: number;
 }
 
-/** A write that happens only if every compared key still has the revision seen. */
+/** A transaction that takes effect only if every compared key still has the given revision. */
 export interface Txn {
   readonly compares: readonly Pick<Entry, "key" | "revision">[];
   readonly puts: readonly Put[];
   readonly deletes?: readonly string[];
 }
 
-/** A key to write, kept no longer than its lease where one is named. */
+/** A key to write; if a lease is given, the key is deleted when the lease ends. */
 export interface Put {
   readonly key: string;
   readonly value: string;
   readonly lease?: string | undefined;
 }
 
-/** What a lease was granted for. */
+/** A lease that the store granted. */
 export interface Lease {
   readonly id: string;
-  /** Milliseconds until it lapses unless kept alive. */
+  /** Milliseconds until the lease lapses unless it is kept alive. */
   readonly ttlMs: number;
 }
 
-/** Is told of writes. */
+/** Receives the events of a watch. */
 export interface Watcher {
-  /** The watch stands; writes from now on are seen. */
+  /** Called when the watch is established; all writes from now on are reported. */
   readonly opened: () => void;
+  /** Called for each write. */
   readonly seen: (entry: Entry) => void;
 }
 
 /**
- * The store. Every call throws a `StepError` of step `store`; after an `unknown` outcome the write
- * may have taken effect, and the caller must read to find out.
+ * A key-value store. Every call throws a `StepError` of step `store` when it fails. After an `unknown`
+ * outcome the write may have taken effect, and the caller must read to find out.
  */
 export interface Store {
   readonly read: (key: string) => Promise<Entry | undefined>;
-  /** Entries whose keys begin with `prefix`, by key, at most `limit`, those after `after` alone. */
+  /** Returns up to `limit` entries whose keys begin with `prefix`, ordered by key; only keys after `after` if given. */
   readonly range: (prefix: string, limit: number, after?: string) => Promise<readonly Entry[]>;
-  /** Whether the compares held and the writes took effect; with the store's revision of the write. */
+  /** Runs a transaction; returns whether it took effect, and the store's revision after it. */
   readonly commit: (txn: Txn) => Promise<{ readonly ok: boolean; readonly revision: number }>;
   /**
-   * Creates each key that is not there, all in one call; for each key, in order, the entry that was
-   * there before, or undefined where this call created it.
+   * Creates, in one call, each key that does not exist yet. Returns for each key, in order, the entry
+   * that existed before, or undefined where this call created it.
    */
   readonly create: (puts: readonly Put[]) => Promise<readonly (Entry | undefined)[]>;
+  /** Grants a lease of at least `ttlMs`. */
   readonly grant: (ttlMs: number) => Promise<Lease>;
-  /** Milliseconds the lease has left after this call; 0 when it is gone. */
+  /** Renews a lease and returns the milliseconds it has left; 0 when it no longer exists. */
   readonly keepAlive: (id: string) => Promise<number>;
-  /** Tells `watcher` of writes under `prefix` from now on; resolves when the watch ends. */
+  /** Reports writes to keys under `prefix` to `watcher`; resolves when the watch ends. */
   readonly watch: (prefix: string, signal: AbortSignal, watcher: Watcher) => Promise<void>;
 }
--- a/test/contract.test.ts
+++ b/test/contract.test.ts
@@ -50,7 +50,7 @@
   });
 });
 
-function change(base: intents.Intent, name: string, id: string): intents.Changeset {
+function changesetAfter(base: intents.Intent, name: string, id: string): intents.Changeset {
   return {
     revision: base.revision + 1,
     previous: base.id,
@@ -64,7 +64,7 @@
 
 describe("intent", () => {
   it("goes forward one revision at a time", () => {
-    const first = change(intents.EMPTY, "a", "1");
+    const first = changesetAfter(intents.EMPTY, "a", "1");
     const now = intents.step(intents.EMPTY, first);
     expect(now.revision).equal(1);
     expect(() => intents.step(now, first)).throw(RangeError, "does not follow");
@@ -72,20 +72,23 @@
   });
 
   it("refuses a change of another history", () => {
-    const now = intents.step(intents.EMPTY, change(intents.EMPTY, "a", "1"));
-    const other = intents.step(intents.EMPTY, change(intents.EMPTY, "b", "2"));
-    expect(() => intents.step(now, change(other, "c", "3"))).throw(RangeError, "another history");
+    const now = intents.step(intents.EMPTY, changesetAfter(intents.EMPTY, "a", "1"));
+    const other = intents.step(intents.EMPTY, changesetAfter(intents.EMPTY, "b", "2"));
+    expect(() => intents.step(now, changesetAfter(other, "c", "3"))).throw(
+      RangeError,
+      "another history",
+    );
   });
 
   it("leaves the value it came from as it was", () => {
-    const now = intents.step(intents.EMPTY, change(intents.EMPTY, "a", "1"));
-    intents.step(now, { ...change(now, "b", "2"), deletes: ["FailureDomain/a"] });
+    const now = intents.step(intents.EMPTY, changesetAfter(intents.EMPTY, "a", "1"));
+    intents.step(now, { ...changesetAfter(now, "b", "2"), deletes: ["FailureDomain/a"] });
     expect([...now.objects.keys()]).eql(["FailureDomain/a"]);
   });
 
   it("resolves a name to its current version, and no unknown one", () => {
     const puts = [site.adapter("captions", "s", ["1", "2"], "2")];
-    const now = intents.step(intents.EMPTY, { ...change(intents.EMPTY, "a", "1"), puts });
+    const now = intents.step(intents.EMPTY, { ...changesetAfter(intents.EMPTY, "a", "1"), puts });
     expect(intents.resolve(now, "captions")?.version).equal("2");
     expect(intents.resolve(now, "captions@1")?.version).equal("1");
     expect(intents.resolve(now, "captions@3")).equal(undefined);
@@ -115,16 +118,16 @@
       fc.property(gaps, fc.integer({ min: 1, max: 60 }), (waits, rate) => {
         let usage = limits.UNUSED;
         let now = 0;
-        let let_in = 0;
+        let admitted = 0;
         for (const ms of waits) {
           now += ms;
           const verdict = limits.enter(usage, { rate }, at, now, 1);
           if (!verdict.ok) continue;
-          let_in++;
+          admitted++;
           usage = limits.exit(verdict.usage);
         }
         const share = rate / at.hosts;
-        expect(let_in).most((now / 1000) * share + Math.max(1, share) + 1e-6);
+        expect(admitted).most((now / 1000) * share + Math.max(1, share) + 1e-6);
       }),
     );
   });
--- a/test/request.test.ts
+++ b/test/request.test.ts
@@ -57,27 +57,31 @@
 });
 
 /** A store that takes some calls in silence. */
-function forgetful(loses: readonly boolean[], fails: readonly boolean[]): store.Store {
-  const kept = new Map<string, store.Entry>();
+function unreliableStore(
+  lostReplies: readonly boolean[],
+  failedCalls: readonly boolean[],
+): store.Store {
+  const entries = new Map<string, store.Entry>();
   let calls = 0;
-  const no = (): Promise<never> => Promise.reject(new Error("not used here"));
+  const notUsed = (): Promise<never> => Promise.reject(new Error("not used here"));
   return {
-    read: (key) => Promise.resolve(kept.get(key)),
-    range: no,
+    read: (key) => Promise.resolve(entries.get(key)),
+    range: notUsed,
     commit: ({ deletes }) => {
-      for (const key of deletes ?? []) kept.delete(key);
+      for (const key of deletes ?? []) entries.delete(key);
       return Promise.resolve({ ok: true, revision: 1 });
     },
     create: (puts) => {
       const n = calls++;
-      if (fails[n]) return Promise.reject(new Error("down"));
-      const before = puts.map((p) => kept.get(p.key));
-      for (const [i, p] of puts.entries()) if (!before[i]) kept.set(p.key, { ...p, revision: 1 });
-      return loses[n] ? Promise.reject(new Error("lost")) : Promise.resolve(before);
+      if (failedCalls[n]) return Promise.reject(new Error("down"));
+      const before = puts.map((p) => entries.get(p.key));
+      for (const [i, p] of puts.entries())
+        if (!before[i]) entries.set(p.key, { ...p, revision: 1 });
+      return lostReplies[n] ? Promise.reject(new Error("lost")) : Promise.resolve(before);
     },
     grant: (ttlMs) => Promise.resolve({ id: "1", ttlMs }),
     keepAlive: () => Promise.resolve(1),
-    watch: no,
+    watch: notUsed,
   };
 }
 
@@ -86,7 +90,7 @@
     const faults = fc.array(fc.boolean(), { maxLength: 8 });
     await fc.assert(
       fc.asyncProperty(faults, faults, fc.integer({ min: 2, max: 5 }), async (loses, fails, n) => {
-        const shared = forgetful(loses, fails);
+        const shared = unreliableStore(loses, fails);
         const opts = { windowMs: 1000, batchMs: 0, batch: 2 };
         const deps = { clock: clock.system, log: log.silent, store: shared };
         const hosts = Array.from({ length: n }, () => new claims.Claims(opts, deps));
@@ -102,7 +106,7 @@
 
   it("put several into one call", async () => {
     let calls = 0;
-    const inner = forgetful([], []);
+    const inner = unreliableStore([], []);
     const counted = { ...inner, create: (p: readonly store.Put[]) => (calls++, inner.create(p)) };
     const deps = { clock: clock.system, log: log.silent, store: counted };
     const host = new claims.Claims({ windowMs: 1000, batchMs: 2, batch: 64 }, deps);
--- a/test/steps/orders.ts
+++ b/test/steps/orders.ts
@@ -31,11 +31,14 @@
 }
 
 /** Sends an attempt as an entry daemon does. */
-async function send(to: endpoint.Running, a: wire.Attempt): Promise<outcome.Failure | undefined> {
+async function send(
+  daemon: endpoint.Running,
+  a: wire.Attempt,
+): Promise<outcome.Failure | undefined> {
   const header = wire.encode(a);
-  const audience = to.parts.cfg.name;
+  const audience = daemon.parts.cfg.name;
   const signed = { method: "POST", path: wire.RUN_PATH, audience, covers: [header] };
-  const res = await undici.request(`http://${to.linkAddress}${wire.RUN_PATH}`, {
+  const res = await undici.request(`http://${daemon.linkAddress}${wire.RUN_PATH}`, {
     method: "POST",
     headers: {
       authorization: keys.sign([site.KEY], signed, clock.system),
@@ -105,7 +108,7 @@
   await site.until(() => first.state() === "lapsed");
 });
 
-const open = (w: world.World) =>
+const openEngine = (w: world.World) =>
   vllm.open({
     url: String(w.notes.get("engine")),
     timeoutMs: 1000,
@@ -116,12 +119,12 @@
 world.step("another holder takes the engine", async (w) => {
   const second = holder(w, "second");
   while (second.state() !== "held") await second.step();
-  await open(w).load("notes@1~second.1", "none", second.fence());
+  await openEngine(w).load("notes@1~second.1", "none", second.fence());
 });
 
 world.step("an order of the first holder is refused by the engine", async (w) => {
   const first = w.notes.get("first") as lease.Holder;
-  const refusal = await open(w)
+  const refusal = await openEngine(w)
     .unload("notes@1~second.1", first.fence())
     .catch((err: unknown) => err);
   expect(refusal).instanceOf(outcome.StepError);
