--- a/src/link/body.ts
+++ b/src/link/body.ts
@@ -1,5 +1,5 @@
 /**
- * Reading a body within a bound, and answering with a failure.
+ * Reads bodies of limited size, and sends failures as responses.
  * @module
  */
 import * as http from "node:http";
@@ -15,7 +15,8 @@
   limit: number,
   peer: string,
 ): Promise<Buffer> {
-  // An error takes its stack as it is made, which costs more than all the rest.
+  // Creating an error captures a stack trace, which costs more than the rest of this function, so the
+  // error is created only when it is thrown.
   const tooLarge = (): outcome.StepError =>
     outcome.notRun("too_large", "read", peer, `The body is over ${limit} bytes.`);
   if (Number(req.headers["content-length"] ?? 0) > limit) throw tooLarge();
@@ -29,20 +30,25 @@
     }
   } catch (err) {
     if (err instanceof outcome.StepError) throw err;
-    throw outcome.notRun("bad_request", "read", peer, "The request broke off before its end.");
+    throw outcome.notRun(
+      "bad_request",
+      "read",
+      peer,
+      "The connection was closed before the whole request body arrived.",
+    );
   }
   return Buffer.concat(chunks);
 }
 
-/** Codes that Node's HTTP server gives to what it cannot read, where they say more than "bad". */
+/** Our error codes for parse errors of Node's HTTP server; all others are `bad_request`. */
 const CODE_BY_PARSE_ERROR: Readonly<Record<string, outcome.Code>> = {
   HPE_HEADER_OVERFLOW: "too_large",
   ERR_HTTP_REQUEST_TIMEOUT: "bad_request",
 };
 
 /**
- * Answers bytes that are no HTTP request, or one that came too slowly, with a failure of the usual
- * shape; the connection ends.
+ * Answers bytes that are not an HTTP request, or a request that arrived too slowly, with a failure in the
+ * usual format, and closes the connection.
  */
 export function refuseBytes(err: Error, socket: stream.Duplex): void {
   if (!socket.writable) {
@@ -68,7 +74,10 @@
   );
 }
 
-/** Answers with a failure; once an answer has begun, cuts it so that nobody takes it for whole. */
+/**
+ * Answers with a failure. If a response has already begun, destroys the connection, so that the client
+ * cannot mistake the partial response for a complete one.
+ */
 export function refuse(res: http.ServerResponse, f: outcome.Failure): void {
   if (res.headersSent) {
     res.destroy();
--- a/src/link/circuit.ts
+++ b/src/link/circuit.ts
@@ -1,24 +1,32 @@
 /**
- * Takes a peer that fails out of use, and lets it back by one trial at a time.
+ * A circuit breaker as an immutable value: after repeated failures no requests are sent to a peer, until a
+ * single trial request to it succeeds.
  * @module
  */
 
+/** Thresholds and times of a circuit breaker. */
 export interface Options {
-  /** Failures in a row that open the circuit. */
+  /** Number of consecutive failures that opens the circuit. */
   readonly failures: number;
-  /** Milliseconds it stays open at first; doubled after each failed trial. */
+  /** Milliseconds for which the circuit stays open at first; doubled after each failed trial. */
   readonly openMs: number;
+  /** Upper bound on the time for which the circuit stays open, in ms. */
   readonly openMaxMs: number;
 }
 
+/**
+ * State of a circuit breaker. `closed`: requests are sent, and `failures` counts consecutive failures.
+ * `open`: no requests until `until`. `trial`: one request was sent at `since` to test the peer.
+ */
 export type Circuit =
   | { readonly kind: "closed"; readonly failures: number }
   | { readonly kind: "open"; readonly until: number; readonly openMs: number }
   | { readonly kind: "trial"; readonly openMs: number; readonly since: number };
 
+/** The state without failures. */
 export const CLOSED: Circuit = { kind: "closed", failures: 0 };
 
-/** Whether a request may be sent at `now`. */
+/** Whether a request may be sent at time `now`. */
 export function allows(c: Circuit, now: number): boolean {
   switch (c.kind) {
     case "closed":
@@ -26,20 +34,22 @@
     case "open":
       return now >= c.until;
     case "trial":
-      // A trial that never came back must not shut the peer out for good.
+      // If a trial never ends, another is allowed after `openMs`; otherwise the peer would be blocked forever.
       return now >= c.since + c.openMs;
   }
 }
 
-/** The circuit after a request was sent. */
+/** Returns the state after a request was sent; unless the circuit is closed, that request is the trial. */
 export function sent(c: Circuit, now: number): Circuit {
   return c.kind === "closed" ? c : { kind: "trial", openMs: c.openMs, since: now };
 }
 
+/** Returns the state after a request succeeded. */
 export function succeeded(): Circuit {
   return CLOSED;
 }
 
+/** Returns the state after a request failed. */
 export function failed(c: Circuit, opts: Options, now: number): Circuit {
   switch (c.kind) {
     case "closed":
--- a/src/link/control.ts
+++ b/src/link/control.ts
@@ -1,6 +1,6 @@
 /**
- * Control calls between daemons, and from the command line to daemons, over tRPC. Each is signed
- * with the cluster's key, its body included.
+ * Control calls between daemons, and from the command line to daemons, over tRPC. Each call is signed
+ * with the cluster's key, and the signature covers its body.
  * @module
  */
 import type * as http from "node:http";
@@ -17,7 +17,10 @@
 import * as keys from "./keys.js";
 import * as wire from "./wire.js";
 
-/** Changesets newer than a revision, or the whole intent where the log no longer reaches back. */
+/**
+ * Schema of an update of the intent: the changesets after some revision, or the whole intent if the log no
+ * longer reaches back to that revision.
+ */
 export const page = zod.discriminatedUnion("kind", [
   zod.object({ kind: zod.literal("changes"), changes: zod.array(intent.changeset).readonly() }),
   zod.object({
@@ -29,16 +32,16 @@
 ]);
 export type Page = zod.infer<typeof page>;
 
-/** What became of an attempt, as the endpoint daemon that was meant to take it says. */
+/** What became of an attempt, according to the endpoint daemon that it was addressed to. */
 export type Fate =
-  /** It was not dispatched and never will be. */
+  /** The attempt was not dispatched and never will be. */
   | { readonly kind: "not_run" }
-  /** It was dispatched; whether it still runs is not said. */
+  /** The attempt was dispatched; it may still be running. */
   | { readonly kind: "dispatched" }
-  /** This daemon's life began after the attempt; only the former life knew. */
+  /** The attempt was addressed to an earlier run of the daemon, of which this one has no record. */
   | { readonly kind: "unknown_epoch" };
 
-/** Figures of one daemon, for `sumacfield status`. */
+/** State and counters of one daemon, for `sumacfield status`. */
 export interface Status {
   readonly name: string;
   readonly role: "entry" | "endpoint";
@@ -65,27 +68,28 @@
   }[];
 }
 
-/** Asks for the deployment's turn at the weight store. */
+/** Schema of a request for a turn to load weights from the deployment's weight store. */
 export const turnAsk = zod.object({
   endpoint: zod.string(),
   /** `adapter@version`. */
   target: zod.string(),
-  /** Larger goes first. */
+  /** Priority: a request with a larger score is served first. */
   score: zod.number(),
 });
 export type TurnAsk = zod.infer<typeof turnAsk>;
 
-/** Whether an endpoint may load now. */
+/** Whether an endpoint may load now, or in how many ms it should ask again. */
 export type TurnAnswer =
   { readonly kind: "go" } | { readonly kind: "wait"; readonly askAgainMs: number };
 
-/** What a daemon does when it is called. */
+/** A daemon's implementation of the control calls. */
 export interface Handler {
   readonly news: () => wire.News | undefined;
   readonly status: () => Status;
   readonly changesAfter: (revision: number) => Page;
-  /** Takes news of the intent; answers the revision in force here after it. */
+  /** Applies an update of the intent, and returns the revision in effect afterwards. */
   readonly learn: (page: Page) => number;
+  /** Withdraws an attempt unless it was dispatched, and returns what became of it. */
   readonly cancel: (attempt: string, epoch: string) => Fate;
   readonly askTurn: (ask: TurnAsk) => TurnAnswer;
   readonly endTurn: (endpoint: string) => void;
@@ -114,20 +118,23 @@
 });
 type Router = typeof router;
 
-/** Control calls to one peer. They throw a `StepError`; a lost reply has the outcome `unknown`. */
+/** A client for control calls to one peer. Calls throw a `StepError`; a lost reply has the outcome `unknown`. */
 export type Peer = client.TRPCClient<Router>;
 
-/** Bytes of control that went through this daemon, both ways. */
+/** Bytes of control calls that this daemon sent and received. */
 export interface Traffic {
   bytes: number;
 }
 
-/** Largest control body, in bytes: the whole intent at the size to come, with room to spare. */
+/** Maximum body of a control call, in bytes: the whole intent at its expected future size, with a margin. */
 const MAX_BODY_BYTES = 32 * 1024 * 1024;
-/** Rough size of a control call's line and headers on the wire, in bytes. */
+/** Estimated size of the request line and headers of a control call, in bytes. */
 const CALL_OVERHEAD_BYTES = 400;
 
-/** Serves control calls under {@link wire.CONTROL_PATH}; a call without a good signature gets 401. */
+/**
+ * Returns a request listener for control calls under {@link wire.CONTROL_PATH}. A call without a valid
+ * signature is answered with 401.
+ */
 export function serve(
   name: string,
   handler: Handler,
@@ -156,22 +163,23 @@
 
 type Procedures = Readonly<Record<string, (input: unknown) => Promise<unknown>>>;
 
-/** Calls one procedure straight, without the library's HTTP adapter, whose cost is most of a call's. */
+/** Calls a procedure without the library's HTTP adapter, which would account for most of a call's cost. */
 async function callProcedure(procedures: object, path: string, text: string): Promise<Envelope> {
   const name = path.slice(wire.CONTROL_PATH.length + 1);
   if (!Object.hasOwn(router._def.procedures, name)) {
-    throw outcome.notRun("not_found", "control", name, "There is no such call.");
+    throw outcome.notRun("not_found", "control", name, "There is no such control call.");
   }
   const procedure = (procedures as Procedures)[name];
   const input: unknown = text === "" ? undefined : JSON.parse(text);
   return { result: { data: await procedure?.(input) } };
 }
 
+/** The JSON body of a successful response. */
 interface Envelope {
   readonly result: { readonly data: unknown };
 }
 
-/** A client for the daemon `name` at `address` (`ip:port`). */
+/** Creates a client for the daemon `name` at `address` (`ip:port`). */
 export function connect(
   address: string,
   name: string,
@@ -205,7 +213,9 @@
         },
         (err: unknown) => {
           observer.error(
-            client.TRPCClientError.from(err instanceof Error ? err : new Error("lost")),
+            client.TRPCClientError.from(
+              err instanceof Error ? err : new Error("the reply was lost"),
+            ),
           );
         },
       );
--- a/src/link/keys.ts
+++ b/src/link/keys.ts
@@ -1,6 +1,6 @@
 /**
- * How daemons know each other: every request between them is signed with the cluster's key. Two
- * keys are in force while one is rotated; the first signs.
+ * Signatures by which daemons authenticate each other: every request between them is signed with the
+ * cluster's key. Two keys are valid while the key is being rotated; the first one signs.
  * @module
  */
 import * as crypto from "node:crypto";
@@ -8,30 +8,38 @@
 import type * as clock from "../host/clock.js";
 import * as outcome from "../request/outcome.js";
 
+/** Scheme of the `Authorization` header. */
 const SCHEME = "Sumacfield";
+/** Length of a key's id, in hex digits. */
 const ID_LENGTH = 8;
 const NONCE_BYTES = 12;
-/** Signatures older or newer than this are refused, in ms; wide enough for hosts' clocks to differ. */
+/**
+ * Maximum difference between a signature's time and the verifier's clock, in ms. It is wide enough to
+ * allow for differences between the hosts' clocks.
+ */
 export const WINDOW_MS = 120_000;
-/** Signatures remembered so that none is taken twice; older ones fall out of the window first. */
+/**
+ * Number of nonces remembered to detect replayed signatures. By the time one is evicted, its signature is
+ * too old to be accepted.
+ */
 const MAX_REMEMBERED_NONCES = 200_000;
-/** Shortest cluster key taken, in bytes. */
+/** Minimum length of a cluster key, in bytes. */
 export const KEY_LENGTH = 16;
 
-/** The keys in force, newest first. */
+/** The valid cluster keys, newest first. */
 export type Keys = readonly [string, ...string[]];
 
-/** What a signature covers. */
+/** The parts of a request that a signature covers. */
 export interface Signed {
   readonly method: string;
   readonly path: string;
-  /** Name of the daemon that is meant to take it. */
+  /** Name of the daemon that the request is addressed to. */
   readonly audience: string;
-  /** Header values or a body's hash that must arrive unchanged. */
+  /** Header values, or the hash of a body, that must arrive unchanged. */
   readonly covers: readonly string[];
 }
 
-/** SHA-256 in hex; callers' keys are known by it alone. */
+/** Returns the SHA-256 hash in hex. Callers' keys are stored only in this form. */
 export function sha256(text: string | Buffer): string {
   return crypto.createHash("sha256").update(text).digest("hex");
 }
@@ -43,7 +51,7 @@
 
 const idCache = new Map<string, string>();
 
-/** A short name of a key, which tells nothing about it. */
+/** Returns a short identifier of a key that does not reveal the key. */
 function keyId(key: string): string {
   const cached = idCache.get(key);
   if (cached !== undefined) return cached;
@@ -52,19 +60,19 @@
   return id;
 }
 
-/** The value of the `Authorization` header for one request. */
+/** Returns the value of the `Authorization` header for one request. */
 export function sign(keys: Keys, s: Signed, clk: clock.Clock): string {
   const nonce = crypto.randomBytes(NONCE_BYTES).toString("base64url");
   const signedAt = String(clk.now().getTime());
   return `${SCHEME} ${keyId(keys[0])}.${signedAt}.${nonce}.${mac(keys[0], s, signedAt, nonce)}`;
 }
 
-/** Checks signatures; one per daemon, since it remembers those it took. */
+/** Creates a function that verifies signatures; one per daemon, since it remembers the nonces it accepted. */
 export function verifier(keys: Keys, clk: clock.Clock) {
   const byId = new Map(keys.map((k) => [keyId(k), k]));
   const seen = new lru.LRUCache<string, true>({ max: MAX_REMEMBERED_NONCES });
 
-  /** Throws a `StepError` of step `authenticate` unless the signature is good, fresh and new. */
+  /** Throws a `StepError` of step `authenticate` unless the signature is valid, recent and not a replay. */
   return (header: string | undefined, s: Signed, peer: string): void => {
     const refuse = (why: string): never => {
       throw outcome.notRun("unauthorized", "authenticate", peer, `Not from this cluster: ${why}.`);
@@ -81,8 +89,8 @@
       return refuse("the signature does not match");
     }
     if (Math.abs(clk.now().getTime() - Number(signedAt)) > WINDOW_MS)
-      return refuse("signed too long ago");
-    if (seen.has(nonce)) return refuse("a signature used before");
+      return refuse("the signature is too old or in the future");
+    if (seen.has(nonce)) return refuse("the signature was used before");
     seen.set(nonce, true);
   };
 }
--- a/src/link/pump.ts
+++ b/src/link/pump.ts
@@ -1,14 +1,14 @@
 /**
- * Passes a body on as it comes, at the reader's pace.
+ * Forwards a body as it arrives, with backpressure.
  * @module
  */
 import type * as http from "node:http";
 import type * as stream from "node:stream";
 
 /**
- * Writes `from` to `to`, and resolves at its end without ending `to`. Rejects when either side breaks
- * off; a slow reader holds the sender back. Does what the platform's `pipeline` does, without the
- * signal and errors that one makes for every call.
+ * Writes `from` to `to`, and resolves at the end of `from` without ending `to`. Rejects when either side
+ * closes early; pauses `from` while `to` cannot accept more. Does what Node's `pipeline` does, without the
+ * abort signal and the errors that `pipeline` creates on every call.
  */
 export function pump(from: stream.Readable, to: http.ServerResponse): Promise<void> {
   return new Promise((resolve, reject) => {
@@ -26,7 +26,7 @@
     };
     const readerClosed = (): void => {
       from.destroy();
-      fail(new Error("the reader went away"));
+      fail(new Error("the reader closed the connection"));
     };
     const forward = (chunk: Buffer): void => {
       if (!to.write(chunk)) from.pause();
@@ -34,7 +34,7 @@
     let ended = false;
     from.once("error", fail);
     from.once("close", () => {
-      if (!ended) fail(new Error("the sender broke off"));
+      if (!ended) fail(new Error("the sender closed the connection before the end of the body"));
     });
     from.once("end", () => {
       ended = true;
--- a/src/link/wire.ts
+++ b/src/link/wire.ts
@@ -1,15 +1,16 @@
 /**
- * The headers of an attempt on its way from an entry daemon to an endpoint daemon and back. The
- * request's own bytes follow as the HTTP body.
+ * The headers of an attempt that an entry daemon sends to an endpoint daemon, and of the response. The
+ * bytes of the caller's request follow as the HTTP body.
  * @module
  */
 import * as zod from "zod";
 
-/** Path under which an endpoint daemon takes attempts. */
+/** Path on which an endpoint daemon accepts attempts. */
 export const RUN_PATH = "/run";
-/** Path under which a daemon takes control calls. */
+/** Path prefix of a daemon's control calls. */
 export const CONTROL_PATH = "/control";
 
+/** Names of the headers. */
 export const HEADER = {
   attempt: "sumacfield-attempt",
   outcome: "sumacfield-outcome",
@@ -18,24 +19,24 @@
   bodyHash: "sumacfield-body-sha256",
 } as const;
 
-/** What an entry daemon asks of an endpoint daemon. */
+/** Schema of an attempt: one try at running a request, sent by an entry daemon to an endpoint daemon. */
 export const attempt = zod
   .strictObject({
-    /** Unlike any other attempt's, also of the same request. */
+    /** Unique among all attempts, including those of the same request. */
     id: zod.string().min(1).max(64),
-    /** The life of the endpoint daemon that the entry daemon means. */
+    /** Epoch of the endpoint daemon that the attempt is addressed to; it changes with every start. */
     epoch: zod.string(),
     caller: zod.string(),
     class: zod.string(),
-    /** Larger goes first; from the caller's grant and the request. */
+    /** Priority in the queue: larger goes first. Derived from the caller's grant and the request. */
     worth: zod.number().positive(),
-    /** Requests of this caller that may wait here at once. */
+    /** Maximum number of this caller's requests that may wait at the endpoint. */
     queue: zod.int().positive(),
-    /** Milliseconds left until the answer's first byte must be out. */
+    /** Milliseconds left until the first byte of the answer must have been sent. */
     budgetMs: zod.number(),
-    /** Intent revision that the entry daemon decided by. */
+    /** Intent revision on which the entry daemon based its decision. */
     revision: zod.int(),
-    /** Whether the work may be run again after a broken link. */
+    /** Whether the work may be repeated after the connection broke. */
     repeatable: zod.boolean(),
     work: zod.discriminatedUnion("kind", [
       zod
@@ -43,7 +44,7 @@
           kind: zod.literal("model"),
           adapter: zod.string(),
           version: zod.string(),
-          /** The engine's own path, e.g. `/v1/completions`. */
+          /** Path on the engine, e.g. `/v1/completions`. */
           path: zod.string(),
           stream: zod.boolean(),
         })
@@ -61,13 +62,13 @@
   .readonly();
 export type Attempt = zod.infer<typeof attempt>;
 
-/** How one endpoint is, as its daemon last said; rides on every answer and on reports. */
+/** Schema of an endpoint's report of its state, sent with every answer and on request. */
 export const news = zod
   .object({
     endpoint: zod.string(),
-    /** Changes with every start of the daemon. */
+    /** Identifies one run of the daemon; changes with every start. */
     epoch: zod.string(),
-    /** Grows with every report of one epoch, so that late news is known as such. */
+    /** Increases with every report of one epoch, so that a report that arrives late can be recognized. */
     seq: zod.int(),
     state: zod.enum(["learning", "serving", "draining"]),
     running: zod.int(),
@@ -75,24 +76,24 @@
     seats: zod.int(),
     /** Adapters loaded, as `adapter@version`. */
     loaded: zod.array(zod.string()).readonly(),
-    /** Adapters being loaded or wanted. */
+    /** Adapters that are being loaded or waited for. */
     coming: zod.array(zod.string()).readonly(),
-    /** Smoothed milliseconds from dispatch to the answer's end. */
+    /** Smoothed time from dispatch to the end of the answer, in ms. */
     serviceMs: zod.number(),
-    /** Smoothed milliseconds of one load, with its wait for a turn. */
+    /** Smoothed time of one load, in ms, including the wait for a turn. */
     loadMs: zod.number(),
     revision: zod.int(),
   })
   .readonly();
 export type News = zod.infer<typeof news>;
 
-/** Encodes a value for a header. */
+/** Encodes a value as the text of a header. */
 export function encode(value: unknown): string {
   return Buffer.from(JSON.stringify(value)).toString("base64url");
 }
 
-/** Decodes a header made by {@link encode}; throws when it is not one. */
+/** Decodes a header written by {@link encode}; throws when it is missing, repeated or malformed. */
 export function decode<T>(schema: zod.ZodType<T>, text: string | readonly string[] | undefined): T {
-  if (typeof text !== "string") throw new TypeError("the header is missing or stands twice");
+  if (typeof text !== "string") throw new TypeError("the header is missing or is repeated");
   return schema.parse(JSON.parse(Buffer.from(text, "base64url").toString()));
 }
--- a/src/store/journal.ts
+++ b/src/store/journal.ts
@@ -67,7 +67,10 @@
   return entries.map((e) => intent.changeset.parse(JSON.parse(e.value)));
 }
 
-/** Advances `from` to the store's head, from the newest snapshot if that is newer than `from`. */
+/**
+ * Advances `from` to the store's head. Starts at the newest snapshot if that is newer than `from`, since
+ * the log may not reach back that far.
+ */
 export async function catchUp(st: store.Store, from: intent.Intent): Promise<intent.Intent> {
   const { head } = await readHead(st);
   let current = from;
--- a/src/store/lease.ts
+++ b/src/store/lease.ts
@@ -34,7 +34,7 @@
 const lastHolderRecord = zod.object({
   epoch: zod.string(),
   handedOver: zod.boolean(),
-  /** Epochs of the previous holders, up to the last one that did not hand over properly. */
+  /** Epochs of the holders directly before it, each of which handed over to the next. */
   trusted: zod.array(zod.string()).readonly(),
 });
 type LastHolder = zod.infer<typeof lastHolderRecord>;
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -55,7 +55,7 @@
    * that existed before, or undefined where this call created it.
    */
   readonly create: (puts: readonly Put[]) => Promise<readonly (Entry | undefined)[]>;
-  /** Grants a lease of at least `ttlMs`. */
+  /** Requests a lease of `ttlMs`; the result says for how long it was granted. */
   readonly grant: (ttlMs: number) => Promise<Lease>;
   /** Renews a lease and returns the milliseconds it has left; 0 when it no longer exists. */
   readonly keepAlive: (id: string) => Promise<number>;
