--- a/src/link/wire.ts
+++ b/src/link/wire.ts
@@ -28,7 +28,7 @@
     epoch: zod.string(),
     caller: zod.string(),
     class: zod.string(),
-    /** Priority in the queue: larger goes first. Derived from the caller's grant and the request. */
+    /** Weight in the queue: larger goes first. Derived from the caller's grant and the request. */
     worth: zod.number().positive(),
     /** Maximum number of this caller's requests that may wait at the endpoint. */
     queue: zod.int().positive(),
--- a/test/contract.test.ts
+++ b/test/contract.test.ts
@@ -23,7 +23,7 @@
 );
 
 describe("selector", () => {
-  it("picks what fails no term", () => {
+  it("matches exactly the objects that satisfy every term", () => {
     fc.assert(
       fc.property(labels, labels, fc.array(expression), (on, matchLabels, matchExpressions) => {
         const all = { matchLabels, matchExpressions };
@@ -36,7 +36,7 @@
     );
   });
 
-  it("holds a term or its opposite, never both", () => {
+  it("satisfies exactly one of an expression and its negation", () => {
     fc.assert(
       fc.property(labels, key, fc.array(value, { minLength: 1 }), (on, k, values) => {
         const term = (operator: "In" | "NotIn") =>
@@ -63,7 +63,7 @@
 }
 
 describe("intent", () => {
-  it("goes forward one revision at a time", () => {
+  it("accepts only the changeset of the next revision", () => {
     const first = changesetAfter(intents.EMPTY, "a", "1");
     const now = intents.step(intents.EMPTY, first);
     expect(now.revision).equal(1);
@@ -71,7 +71,7 @@
     expect(() => intents.step(intents.EMPTY, { ...first, revision: 2 })).throw(RangeError);
   });
 
-  it("refuses a change of another history", () => {
+  it("rejects a changeset of another history", () => {
     const now = intents.step(intents.EMPTY, changesetAfter(intents.EMPTY, "a", "1"));
     const other = intents.step(intents.EMPTY, changesetAfter(intents.EMPTY, "b", "2"));
     expect(() => intents.step(now, changesetAfter(other, "c", "3"))).throw(
@@ -80,13 +80,13 @@
     );
   });
 
-  it("leaves the value it came from as it was", () => {
+  it("does not modify the intent that a changeset is applied to", () => {
     const now = intents.step(intents.EMPTY, changesetAfter(intents.EMPTY, "a", "1"));
     intents.step(now, { ...changesetAfter(now, "b", "2"), deletes: ["FailureDomain/a"] });
     expect([...now.objects.keys()]).eql(["FailureDomain/a"]);
   });
 
-  it("resolves a name to its current version, and no unknown one", () => {
+  it("resolves a model name to the current or given version, and unknown names to undefined", () => {
     const puts = [site.adapter("captions", "s", ["1", "2"], "2")];
     const now = intents.step(intents.EMPTY, { ...changesetAfter(intents.EMPTY, "a", "1"), puts });
     expect(intents.resolve(now, "captions")?.version).equal("2");
@@ -97,7 +97,7 @@
 });
 
 describe("limits", () => {
-  it("shares out exactly the limit, but for one each where it is too small", () => {
+  it("divides the limit exactly, with at least one for each host", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 500 }),
@@ -111,7 +111,7 @@
     );
   });
 
-  it("lets in no more than the rate and one bucket", () => {
+  it("admits no more than the rate allows plus one bucket", () => {
     const at = { hosts: 3, index: 0 };
     const gaps = fc.array(fc.integer({ min: 0, max: 400 }), { maxLength: 200 });
     fc.assert(
@@ -132,7 +132,7 @@
     );
   });
 
-  it("says when to come back, and is right", () => {
+  it("admits a refused request after the wait that it was told", () => {
     const first = limits.enter(limits.UNUSED, { rate: 1 }, { hosts: 1, index: 0 }, 0, 1);
     if (!first.ok) throw new Error("refused at once");
     const second = limits.enter(first.usage, { rate: 1 }, { hosts: 1, index: 0 }, 100, 1);
@@ -146,7 +146,7 @@
   Array.from({ length: n }, (_, i) => ({ name: `e${i}`, failureDomain: `d${i % 3}` }));
 
 describe("ring", () => {
-  it("finds as many endpoints as asked for, each once", () => {
+  it("returns the requested number of endpoints without duplicates", () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 60 }), fc.string(), (n, text) => {
         const found = ring.successors(ring.build(places(n)), text, 6, 2).map((p) => p.name);
@@ -155,7 +155,7 @@
     );
   });
 
-  it("spreads the first over failure domains", () => {
+  it("returns first endpoints in distinct failure domains", () => {
     fc.assert(
       fc.property(fc.string(), (text) => {
         const found = ring.successors(ring.build(places(12)), text, 6, 3);
@@ -164,7 +164,7 @@
     );
   });
 
-  it("moves only the keys of a place that goes", () => {
+  it("reassigns only the keys of an endpoint that is removed", () => {
     const all = places(20);
     const before = ring.build(all);
     const after = ring.build(all.filter((p) => p.name !== "e7"));
@@ -179,12 +179,12 @@
 describe("files", () => {
   const good = "apiVersion: sumacfield/v1\nkind: Caller\nmetadata: {name: c}\nspec: {keys: []}\n";
 
-  it("reads objects, several in one text", () => {
+  it("reads several objects from one text", () => {
     const found = files.parse(`${good}---\n${good.replace("name: c", "name: d")}`, "f.yaml");
     expect(found.map(objects.keyOf)).eql(["Caller/c", "Caller/d"]);
   });
 
-  it("names the file, the object, the field and what was expected", () => {
+  it("reports the file, the object, the field and what was expected", () => {
     const bad = good.replace("keys: []", "keys: [abc]");
     expect(() => files.parse(bad, "f.yaml")).throw(
       files.FileError,
@@ -192,12 +192,12 @@
     );
   });
 
-  it("takes nothing when one of many is wrong", () => {
+  it("rejects the whole file when one object is invalid", () => {
     const bad = `${good}---\n${good.replace("kind: Caller", "kind: Nobody")}`;
     expect(() => files.parse(bad, "f.yaml")).throw(files.FileError);
   });
 
-  it("refuses an object that stands twice", () => {
+  it("rejects an object that is declared twice", () => {
     expect(() => files.parse(`${good}---\n${good}`, "f.yaml")).throw("Caller/c stands twice");
   });
 });
--- a/test/request.test.ts
+++ b/test/request.test.ts
@@ -56,7 +56,7 @@
   });
 });
 
-/** A store that takes some calls in silence. */
+/** A store whose nth call to `create` loses its reply (`lostReplies`) or fails without effect (`failedCalls`). */
 function unreliableStore(
   lostReplies: readonly boolean[],
   failedCalls: readonly boolean[],
@@ -86,7 +86,7 @@
 }
 
 describe("claims", () => {
-  it("give one key to one request at most, whatever replies are lost", async () => {
+  it("grant a key to at most one request, whichever replies are lost", async () => {
     const faults = fc.array(fc.boolean(), { maxLength: 8 });
     await fc.assert(
       fc.asyncProperty(faults, faults, fc.integer({ min: 2, max: 5 }), async (loses, fails, n) => {
@@ -104,7 +104,7 @@
     );
   });
 
-  it("put several into one call", async () => {
+  it("are batched into one call", async () => {
     let calls = 0;
     const inner = unreliableStore([], []);
     const counted = { ...inner, create: (p: readonly store.Put[]) => (calls++, inner.create(p)) };
@@ -123,7 +123,7 @@
     return c;
   };
 
-  it("opens after failures in a row, and lets one trial through", () => {
+  it("opens after consecutive failures, and then allows a single trial", () => {
     expect(circuit.allows(failedTimes(2, 0), 0)).equal(true);
     const open = failedTimes(3, 0);
     expect([0, 99, 100].map((now) => circuit.allows(open, now))).eql([false, false, true]);
@@ -132,7 +132,7 @@
     expect(circuit.succeeded()).eql(circuit.CLOSED);
   });
 
-  it("stays open longer after a failed trial, up to a bound", () => {
+  it("stays open for longer after each failed trial, up to a maximum", () => {
     let c = failedTimes(3, 0);
     for (let i = 0; i < 5; i++) c = circuit.failed(circuit.sent(c, 1000), opts, 1000);
     expect(c).include({ kind: "open", openMs: 400 });
@@ -140,7 +140,7 @@
 });
 
 describe("budget", () => {
-  it("gives no more than flows in and one bucket", () => {
+  it("grants no more tokens than are added plus one bucket", () => {
     const gaps = fc.array(fc.nat(500), { maxLength: 200 });
     fc.assert(
       fc.property(gaps, fc.integer({ min: 1, max: 50 }), (waits, rate) => {
@@ -170,7 +170,7 @@
     verify(keys.sign(ring, signed, clock.system), signed, "p");
   });
 
-  it("refuse what is changed, repeated, old, or signed by another key", () => {
+  it("reject a signature that is altered, replayed, expired or made with another key", () => {
     const verify = keys.verifier(ring, clock.system);
     const header = keys.sign(ring, signed, clock.system);
     const old = { ...clock.system, now: () => new Date(Date.now() - keys.WINDOW_MS - 1000) };
@@ -189,7 +189,7 @@
     refused(header, signed);
   });
 
-  it("refuse any text that is no signature", () => {
+  it("reject any text that is not a signature", () => {
     const verify = keys.verifier(ring, clock.system);
     fc.assert(
       fc.property(fc.string(), (text) => {
--- a/test/steps/orders.ts
+++ b/test/steps/orders.ts
@@ -1,4 +1,4 @@
-/** Steps about who may order an engine, and about attempts that come late. */
+/** Steps on which daemon may send orders to an engine, and on attempts that arrive late. */
 import * as chai from "chai";
 import * as undici from "undici";
 import * as clock from "../../src/host/clock.js";
@@ -14,7 +14,7 @@
 
 const { expect } = chai;
 
-function attempt(id: string, epoch: string, model: string): wire.Attempt {
+function createAttempt(id: string, epoch: string, model: string): wire.Attempt {
   const [adapter = "", version = ""] = model.split("@");
   return {
     id,
@@ -30,7 +30,7 @@
   };
 }
 
-/** Sends an attempt as an entry daemon does. */
+/** Sends an attempt to an endpoint daemon as an entry daemon does; returns the failure in its answer, if any. */
 async function send(
   daemon: endpoint.Running,
   a: wire.Attempt,
@@ -61,7 +61,7 @@
   });
   const fate = await peer.cancel.mutate({ attempt: "late-1", epoch: to.parts.epoch });
   expect(fate).eql({ kind: "not_run" });
-  w.notes.set("refusals", [await send(to, attempt("late-1", to.parts.epoch, "captions@1"))]);
+  w.notes.set("refusals", [await send(to, createAttempt("late-1", to.parts.epoch, "captions@1"))]);
 });
 
 world.step("the attempt is refused as not_run", (w) => {
@@ -79,9 +79,11 @@
 world.step("it is asked for {word} and {word}", async (w, first: string, second: string) => {
   const to = w.notes.get("second") as endpoint.Running;
   await site.until(() => to.gate() !== undefined);
-  // Several looks at the engine, after which a daemon that holds it would serve.
+  // Time for several polls of the engine, after which a daemon that held its lease would serve.
   await new Promise((r) => setTimeout(r, 300));
-  const asked = [first, second].map((m, i) => send(to, attempt(`second-${i}`, to.parts.epoch, m)));
+  const asked = [first, second].map((m, i) =>
+    send(to, createAttempt(`second-${i}`, to.parts.epoch, m)),
+  );
   w.notes.set("refusals", await Promise.all(asked));
   to.kill();
 });
@@ -93,7 +95,7 @@
 
 const TTL_MS = 1000;
 
-function holder(w: world.World, epoch: string): lease.Holder {
+function createHolder(w: world.World, epoch: string): lease.Holder {
   return new lease.Holder(
     { endpoint: "engine-by-hand", epoch, ttlMs: TTL_MS },
     { clock: clock.system, log: log.silent, store: w.at.operator().store },
@@ -101,7 +103,7 @@
 }
 
 world.step("the holder of engine {int} pauses for longer than its lease", async (w, n: number) => {
-  const first = holder(w, "first");
+  const first = createHolder(w, "first");
   await first.step();
   w.notes.set("first", first);
   w.notes.set("engine", w.at.engines[n - 1]?.url);
@@ -117,7 +119,7 @@
   });
 
 world.step("another holder takes the engine", async (w) => {
-  const second = holder(w, "second");
+  const second = createHolder(w, "second");
   while (second.state() !== "held") await second.step();
   await openEngine(w).load("notes@1~second.1", "none", second.fence());
 });
