--- a/src/contract/objects.ts
+++ b/src/contract/objects.ts
@@ -27,7 +27,7 @@
 
 const oneTargetMessage = "expected exactly one of adapters and services";
 
-/** Limits that a grant sets, summed over all entry hosts. */
+/** Limits that a grant sets for each of its callers, over all entry hosts together. */
 const limits = zod
   .strictObject({
     /** Requests in flight at once. */
--- a/src/link/body.ts
+++ b/src/link/body.ts
@@ -15,8 +15,8 @@
   limit: number,
   peer: string,
 ): Promise<Buffer> {
-  // Creating an error captures a stack trace, which costs more than the rest of this function, so the
-  // error is created only when it is thrown.
+  // Created only when it is thrown: an error captures a stack trace when it is created, which costs more
+  // than all the rest of this function.
   const tooLarge = (): outcome.StepError =>
     outcome.notRun("too_large", "read", peer, `The body is over ${limit} bytes.`);
   if (Number(req.headers["content-length"] ?? 0) > limit) throw tooLarge();
