--- a/src/store/lease.ts
+++ b/src/store/lease.ts
@@ -39,17 +39,23 @@
 });
 type LastHolder = zod.infer<typeof lastHolderRecord>;
 
+/**
+ * State of the lease, and the events that change it. `granted`: the store granted or renewed it. `lapsed`: it ran out or was released.
+ * `takenByOther`: another daemon was seen to hold it.
+ */
 const machine = xstate
-  .setup({ types: { events: {} as { type: "took" } | { type: "lapsed" } | { type: "beaten" } } })
+  .setup({
+    types: { events: {} as { type: "granted" } | { type: "lapsed" } | { type: "takenByOther" } },
+  })
   .createMachine({
     id: "lease",
     initial: "none",
     states: {
-      none: { on: { took: "held", beaten: "lost" } },
-      held: { on: { lapsed: "lapsed", beaten: "lost" } },
+      none: { on: { granted: "held", takenByOther: "lost" } },
+      held: { on: { lapsed: "lapsed", takenByOther: "lost" } },
       // The lease may have expired, so it must not be treated as held; no other holder was seen.
-      lapsed: { on: { took: "held", beaten: "lost" } },
-      lost: { on: { took: "held" } },
+      lapsed: { on: { granted: "held", takenByOther: "lost" } },
+      lost: { on: { granted: "held" } },
     },
   });
 
@@ -118,7 +124,7 @@
       const remainingMs = await this.deps.store.keepAlive(this.lease.id);
       if (remainingMs > 0) {
         this.expiresAt = sentAt + remainingMs;
-        this.stateMachine.send({ type: "took" });
+        this.stateMachine.send({ type: "granted" });
         return;
       }
       this.lease = undefined;
@@ -131,7 +137,7 @@
     const current = await this.deps.store.read(this.holderKey);
     if (current && holderRecord.parse(JSON.parse(current.value)).epoch !== this.opts.epoch) {
       if (this.state() !== "lost") this.deps.log.warn("Another daemon holds this engine.");
-      this.stateMachine.send({ type: "beaten" });
+      this.stateMachine.send({ type: "takenByOther" });
       return;
     }
     const previous = await this.deps.store.read(this.lastHolderKey);
@@ -155,7 +161,7 @@
     this.lastFencingNumber = result.revision;
     this.keyRevision = result.revision;
     this.trusted = trusted;
-    this.stateMachine.send({ type: "took" });
+    this.stateMachine.send({ type: "granted" });
     this.deps.log.info(`Acquired the engine lease with fencing number ${result.revision}.`);
   }
 
