--- a/src/store/lease.ts
+++ b/src/store/lease.ts
@@ -40,7 +40,8 @@
 type LastHolder = zod.infer<typeof lastHolderRecord>;
 
 /**
- * State of the lease, and the events that change it. `granted`: the store granted or renewed it. `lapsed`: it ran out or was released.
+ * State of the lease, and the events that change it. `granted`: the store granted or renewed it.
+ * `lapsed`: it ran out or was released.
  * `takenByOther`: another daemon was seen to hold it.
  */
 const machine = xstate
