--- a/src/link/body.ts
+++ b/src/link/body.ts
@@ -1,5 +1,5 @@
 /**
- * Reading a body within a bound, and answering with a failure.
+ * Reads bodies of limited size, and sends failures as responses.
  * @module
  */
 import * as http from "node:http";
@@ -15,34 +15,40 @@
   limit: number,
   peer: string,
 ): Promise<Buffer> {
-  // An error takes its stack as it is made, which costs more than all the rest.
+  // Created only when it is thrown: an error captures a stack trace when it is created, which costs more
+  // than all the rest of this function.
   const tooLarge = (): outcome.StepError =>
     outcome.notRun("too_large", "read", peer, `The body is over ${limit} bytes.`);
   if (Number(req.headers["content-length"] ?? 0) > limit) throw tooLarge();
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
   try {
-    for await (const part of req as AsyncIterable<Buffer>) {
-      size += part.length;
+    for await (const chunk of req as AsyncIterable<Buffer>) {
+      size += chunk.length;
       if (size > limit) throw tooLarge();
-      parts.push(part);
+      chunks.push(chunk);
     }
   } catch (err) {
     if (err instanceof outcome.StepError) throw err;
-    throw outcome.notRun("bad_request", "read", peer, "The request broke off before its end.");
+    throw outcome.notRun(
+      "bad_request",
+      "read",
+      peer,
+      "The connection was closed before the whole request body arrived.",
+    );
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
-/** Codes that Node's HTTP server gives to what it cannot read, where they say more than "bad". */
-const UNREADABLE: Readonly<Record<string, outcome.Code>> = {
+/** Our error codes for parse errors of Node's HTTP server; all others are `bad_request`. */
+const CODE_BY_PARSE_ERROR: Readonly<Record<string, outcome.Code>> = {
   HPE_HEADER_OVERFLOW: "too_large",
   ERR_HTTP_REQUEST_TIMEOUT: "bad_request",
 };
 
 /**
- * Answers bytes that are no HTTP request, or one that came too slowly, with a failure of the usual
- * shape; the connection ends.
+ * Answers bytes that are not an HTTP request, or a request that arrived too slowly, with a failure in the
+ * usual format, and closes the connection.
  */
 export function refuseBytes(err: Error, socket: stream.Duplex): void {
   if (!socket.writable) {
@@ -50,7 +56,7 @@
     return;
   }
   const cause = "code" in err ? String(err.code) : "";
-  const code = UNREADABLE[cause] ?? "bad_request";
+  const code = CODE_BY_PARSE_ERROR[cause] ?? "bad_request";
   const message = `The request could not be read: ${err.message}.`;
   const text = JSON.stringify(
     outcome.toBody({ code, outcome: "not_run", step: "read", peer: "caller", message }),
@@ -68,19 +74,24 @@
   );
 }
 
-/** Answers with a failure; once an answer has begun, cuts it so that nobody takes it for whole. */
+/**
+ * Answers with a failure. If a response has already begun, destroys the connection, so that the client
+ * cannot mistake the partial response for a complete one.
+ */
 export function refuse(res: http.ServerResponse, f: outcome.Failure): void {
   if (res.headersSent) {
     res.destroy();
     return;
   }
   const text = JSON.stringify(outcome.toBody(f));
-  const wait = f.retryAfterMs;
+  const retryAfterMs = f.retryAfterMs;
   res.writeHead(outcome.STATUS[f.code], {
     "content-type": "application/json",
     "content-length": Buffer.byteLength(text),
     [wire.HEADER.outcome]: f.outcome,
-    ...(wait !== undefined && { "retry-after": String(Math.max(1, Math.ceil(wait / MS_PER_S))) }),
+    ...(retryAfterMs !== undefined && {
+      "retry-after": String(Math.max(1, Math.ceil(retryAfterMs / MS_PER_S))),
+    }),
     ...(f.code === "too_large" && { connection: "close" }),
   });
   res.end(text);
--- a/src/link/pump.ts
+++ b/src/link/pump.ts
@@ -1,21 +1,21 @@
 /**
- * Passes a body on as it comes, at the reader's pace.
+ * Forwards a body as it arrives, with backpressure.
  * @module
  */
 import type * as http from "node:http";
 import type * as stream from "node:stream";
 
 /**
- * Writes `from` to `to`, and resolves at its end without ending `to`. Rejects when either side breaks
- * off; a slow reader holds the sender back. Does what the platform's `pipeline` does, without the
- * signal and errors that one makes for every call.
+ * Writes `from` to `to`, and resolves at the end of `from` without ending `to`. Rejects when either side
+ * closes early; pauses `from` while `to` cannot accept more. Does what Node's `pipeline` does, without the
+ * abort signal and the errors that `pipeline` creates on every call.
  */
 export function pump(from: stream.Readable, to: http.ServerResponse): Promise<void> {
   return new Promise((resolve, reject) => {
     const stop = (): void => {
       to.off("drain", resume);
-      to.off("close", left);
-      from.off("data", pass);
+      to.off("close", readerClosed);
+      from.off("data", forward);
     };
     const fail = (err: Error): void => {
       stop();
@@ -24,26 +24,26 @@
     const resume = (): void => {
       from.resume();
     };
-    const left = (): void => {
+    const readerClosed = (): void => {
       from.destroy();
       fail(new Error("the reader went away"));
     };
-    const pass = (part: Buffer): void => {
-      if (!to.write(part)) from.pause();
+    const forward = (chunk: Buffer): void => {
+      if (!to.write(chunk)) from.pause();
     };
-    let whole = false;
+    let ended = false;
     from.once("error", fail);
     from.once("close", () => {
-      if (!whole) fail(new Error("the sender broke off"));
+      if (!ended) fail(new Error("the sender closed the connection before the end of the body"));
     });
     from.once("end", () => {
-      whole = true;
+      ended = true;
       stop();
       resolve();
     });
     to.on("drain", resume);
-    to.on("close", left);
-    if (to.destroyed) left();
-    else from.on("data", pass);
+    to.on("close", readerClosed);
+    if (to.destroyed) readerClosed();
+    else from.on("data", forward);
   });
 }
