--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,5 +1,5 @@
 /**
- * What a command of the command line is, and what all of them share.
+ * Defines a command of the command line, and the settings, exit codes and output that commands share.
  * @module
  */
 import * as os from "node:os";
@@ -12,7 +12,7 @@
 import * as etcd from "../store/etcd.js";
 import * as hosts from "../store/hosts.js";
 
-/** Exit codes, the same for every command; docs/operators/commands.md explains them. */
+/** Exit codes, the same for every command; docs/operators/commands.md documents them. */
 export const EXIT = {
   done: 0,
   failed: 1,
@@ -23,52 +23,52 @@
 } as const;
 export type Exit = (typeof EXIT)[keyof typeof EXIT];
 
-/** One command. */
+/** A command of the command line. */
 export interface Command {
   readonly name: string;
   /** Arguments after the name, e.g. `-f FILE`. */
   readonly usage: string;
   readonly summary: string;
-  /** Paragraphs and examples for `--help`. */
+  /** Paragraphs and examples that `--help` prints. */
   readonly help: string;
   readonly settings: Readonly<Record<string, settings.Setting<unknown>>>;
-  /** Flags that are no settings. */
+  /** Flags other than settings. */
   readonly flags?: Readonly<Record<string, Flag>>;
   readonly run: (input: Input) => Promise<Exit>;
 }
 
-/** A flag of one command. */
+/** A flag of a command, as meow takes it. */
 export interface Flag {
   readonly type: "string" | "boolean";
   readonly shortFlag?: string;
   readonly isMultiple?: boolean;
 }
 
-/** What was typed after the command's name. */
+/** The arguments and flags given after the command's name, and the environment. */
 export interface Input {
   readonly args: readonly string[];
   readonly flags: Readonly<Record<string, unknown>>;
   readonly env: Readonly<Record<string, string | undefined>>;
 }
 
-/** Wrong arguments; the message tells what was expected. */
+/** The arguments are wrong; the message says what was expected. */
 export class UsageError extends Error {
   override readonly name = "UsageError";
 }
 
-/** Settings of the commands that talk to a deployment. */
+/** Settings of the commands that connect to a deployment. */
 export const SETTINGS = {
   storeUrl: settings.url("storeUrl", { help: "The configuration store's etcd v3 JSON gateway." }),
   hostsUrl: settings.url("hostsUrl", { help: "The platform's list of hosts." }),
   clusterKeys: settings.secrets("clusterKeys", keys.KEY_LENGTH, {
-    help: "Keys that daemons know each other by; the first signs.",
+    help: "Keys that daemons authenticate each other with; the first one signs.",
   }),
   storeTimeoutMs: settings.int("storeTimeoutMs", 1, {
     help: "Patience with one call to the store, in ms.",
     default: "2000",
   }),
   controlTimeoutMs: settings.int("controlTimeoutMs", 1, {
-    help: "Patience with one call to a daemon, in ms.",
+    help: "Timeout of one call to a daemon, in ms.",
     default: "1000",
   }),
   waitMs: settings.int("waitMs", 0, {
@@ -77,27 +77,28 @@
   }),
 } as const;
 
-const LOOK_MS = 50;
+/** Milliseconds between two polls of the daemons while a command waits for a change to be in force. */
+const POLL_INTERVAL_MS = 50;
 
-/** Opens a deployment as the settings say. */
+/** Connects to the deployment that the settings name. */
 export function open(input: Input): change.Deps {
   const cfg = settings.read(SETTINGS, input.flags, input.env);
   const traffic: controls.Traffic = { bytes: 0 };
   const clk = clock.system;
   return {
     clock: clk,
-    // A command makes a handful of calls; the budget is for daemons.
+    // A command makes only a few calls; the budget of store calls is meant for daemons.
     store: etcd.open({ url: cfg.storeUrl, timeoutMs: cfg.storeTimeoutMs, spend: () => undefined }),
     hosts: hosts.endpointSlices(cfg.hostsUrl, cfg.controlTimeoutMs),
     peer: (m) =>
       controls.connect(m.address, m.name, cfg.clusterKeys, clk, cfg.controlTimeoutMs, traffic),
     by: `${os.userInfo().username}@${os.hostname()}`,
     waitMs: cfg.waitMs,
-    lookMs: LOOK_MS,
+    lookMs: POLL_INTERVAL_MS,
   };
 }
 
-/** Parses the rest of the command line for `c`. Exits for `--help`. */
+/** Parses the arguments that follow the name of command `c`. Exits the process for `--help`. */
 export function parse(c: Command, argv: readonly string[]): Input {
   const flags: Record<string, Flag> = { ...c.flags };
   for (const s of Object.values(c.settings)) flags[s.name] = { type: "string" };
@@ -123,12 +124,12 @@
 `;
 }
 
-/** Writes a line to standard output. */
+/** Prints a line to standard output. */
 export function out(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-/** Aligns rows in columns; the first row is the head. */
+/** Formats rows as aligned columns; the first row is the header. */
 export function table(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, i) => Math.max(...rows.map((r) => r[i]?.length ?? 0)));
   return rows
--- a/src/cli/intent.ts
+++ b/src/cli/intent.ts
@@ -10,71 +10,71 @@
 import * as journal from "../store/journal.js";
 import * as command from "./command.js";
 
-const FILES = { file: { type: "string", shortFlag: "f", isMultiple: true } } as const;
+const FILE_FLAG = { file: { type: "string", shortFlag: "f", isMultiple: true } } as const;
 
-function paths(input: command.Input): readonly string[] {
+function filePaths(input: command.Input): readonly string[] {
   const given = input.flags.file;
   const found = Array.isArray(given) ? given.filter((p) => typeof p === "string") : [];
   if (found.length === 0) throw new command.UsageError("-f FILE is missing; - is standard input.");
   return found;
 }
 
-async function newest(deps: change.Deps): Promise<intents.Intent> {
+async function latestIntent(deps: change.Deps): Promise<intents.Intent> {
   return journal.catchUp(deps.store, intents.EMPTY);
 }
 
-/** Kinds by any case, with or without a plural s. */
-function kindOf(word: string | undefined): objects.Kind {
+/** Parses the name of a kind, in any case, singular or plural. */
+function parseKind(word: string | undefined): objects.Kind {
   const wanted = word?.toLowerCase() ?? "";
   const kind = objects.KINDS.find((k) => [k.toLowerCase(), `${k.toLowerCase()}s`].includes(wanted));
   if (!kind) throw new command.UsageError(`A kind is one of ${objects.KINDS.join(", ")}.`);
   return kind;
 }
 
-async function one(deps: change.Deps, input: command.Input): Promise<objects.Obj> {
-  const kind = kindOf(input.args[0]);
+async function findObject(deps: change.Deps, input: command.Input): Promise<objects.Obj> {
+  const kind = parseKind(input.args[0]);
   const name = input.args[1] ?? "";
-  const found = intents.find(await newest(deps), kind, name);
+  const found = intents.find(await latestIntent(deps), kind, name);
   if (!found) throw new command.UsageError(`There is no ${kind} ${name}.`);
   return found;
 }
 
-function showDifference(d: change.Difference): string {
+function formatDifference(d: change.Difference): string {
   const lines = (o: objects.Obj | undefined): readonly string[] =>
     o ? yaml.stringify(o).trimEnd().split("\n") : [];
   const now = lines(d.now);
   const wished = lines(d.wished);
-  const minus = now.filter((l) => !wished.includes(l)).map((l) => `  - ${l}`);
-  const plus = wished.filter((l) => !now.includes(l)).map((l) => `  + ${l}`);
-  return [d.key, ...minus, ...plus].join("\n");
+  const removed = now.filter((l) => !wished.includes(l)).map((l) => `  - ${l}`);
+  const added = wished.filter((l) => !now.includes(l)).map((l) => `  + ${l}`);
+  return [d.key, ...removed, ...added].join("\n");
 }
 
-/** Says what is true after a change. */
-function report(done: change.Applied): command.Exit {
-  switch (done.kind) {
+/** Prints the outcome of a change and returns its exit code. */
+function report(result: change.Applied): command.Exit {
+  switch (result.kind) {
     case "unchanged":
-      command.out(`Nothing to change; revision ${done.revision} is the newest.`);
+      command.out(`Nothing to change; revision ${result.revision} is the newest.`);
       return command.EXIT.done;
     case "in_force":
-      command.out(`Revision ${done.revision} is in force everywhere, after ${done.ms} ms.`);
+      command.out(`Revision ${result.revision} is in force everywhere, after ${result.ms} ms.`);
       return command.EXIT.done;
     case "accepted":
-      command.out(`Revision ${done.revision} is accepted, and not yet seen in force at:`);
-      for (const name of done.missing) command.out(`  ${name}`);
+      command.out(`Revision ${result.revision} is accepted, and not yet seen in force at:`);
+      for (const name of result.missing) command.out(`  ${name}`);
       command.out("It will not be lost; `sumacfield status` shows who has it.");
       return command.EXIT.notInForce;
     case "refused":
       command.out("Refused: somebody else changed these meanwhile (- theirs, + yours):");
-      for (const d of done.differences) command.out(showDifference(d));
+      for (const d of result.differences) command.out(formatDifference(d));
       return command.EXIT.refused;
     case "store_behind":
       command.out(
-        `Refused: the store is at revision ${done.store}, but daemons have ${done.daemons} in force. Run \`sumacfield restore\` first.`,
+        `Refused: the store is at revision ${result.store}, but daemons have ${result.daemons} in force. Run \`sumacfield restore\` first.`,
       );
       return command.EXIT.refused;
     case "unknown":
-      command.out(`Not known whether it was accepted: ${done.why}`);
-      command.out(`Settle it with \`sumacfield settle ${done.revision} ${done.id}\`.`);
+      command.out(`Not known whether it was accepted: ${result.why}`);
+      command.out(`Settle it with \`sumacfield settle ${result.revision} ${result.id}\`.`);
       return command.EXIT.unknown;
   }
 }
@@ -84,13 +84,13 @@
   usage: "-f FILE [-f FILE ...]",
   summary: "put declared objects in force",
   help: `Puts the objects in the files (YAML or JSON; - is standard input) in force, all or none.
-Ends with what is true: in force everywhere (exit 0), accepted but not yet seen
-in force at the daemons named (3), refused because somebody else changed the
-same objects (4), or not known, with the command that settles it (5).`,
+Prints the outcome: in force everywhere (exit 0), accepted but not yet seen in
+force at the daemons named (3), refused because somebody else changed the same
+objects (4), or not known, with the command that settles it (5).`,
   settings: command.SETTINGS,
-  flags: FILES,
+  flags: FILE_FLAG,
   run: async (input) => {
-    const puts = await files.read(paths(input));
+    const puts = await files.read(filePaths(input));
     return report(await change.apply({ puts, deletes: [] }, command.open(input)));
   },
 };
@@ -101,12 +101,12 @@
   summary: "show what apply would change",
   help: `Shows what \`apply\` of the same files would change, and changes nothing.`,
   settings: command.SETTINGS,
-  flags: FILES,
+  flags: FILE_FLAG,
   run: async (input) => {
-    const puts = await files.read(paths(input));
-    const now = await newest(command.open(input));
+    const puts = await files.read(filePaths(input));
+    const now = await latestIntent(command.open(input));
     const found = change.differences(now, { puts, deletes: [] });
-    for (const d of found) command.out(showDifference(d));
+    for (const d of found) command.out(formatDifference(d));
     command.out(`${found.length} of ${puts.length} objects differ from revision ${now.revision}.`);
     return command.EXIT.done;
   },
@@ -120,8 +120,8 @@
   settings: command.SETTINGS,
   flags: { json: { type: "boolean" } },
   run: async (input) => {
-    const kind = kindOf(input.args[0]);
-    const now = await newest(command.open(input));
+    const kind = parseKind(input.args[0]);
+    const now = await latestIntent(command.open(input));
     const name = input.args[1];
     const found = intents.list(now, kind).filter((o) => !name || o.metadata.name === name);
     if (input.flags.json) {
@@ -146,7 +146,7 @@
   help: `Shows one object as YAML, in the form that \`apply\` takes.`,
   settings: command.SETTINGS,
   run: async (input) => {
-    command.out(yaml.stringify(await one(command.open(input), input)).trimEnd());
+    command.out(yaml.stringify(await findObject(command.open(input), input)).trimEnd());
     return command.EXIT.done;
   },
 };
@@ -158,7 +158,7 @@
   edits: readonly string[],
 ): Promise<command.Exit> {
   const deps = command.open(input);
-  const found = await one(deps, { ...input, args: [kind ?? "", name ?? ""] });
+  const found = await findObject(deps, { ...input, args: [kind ?? "", name ?? ""] });
   const labels = { ...found.metadata.labels };
   for (const edit of edits) {
     const [key = "", value] = edit.split("=", 2);
@@ -177,11 +177,12 @@
   name: "label",
   usage: "KIND NAME LABEL=VALUE|LABEL- ...",
   summary: "set or remove labels of one object",
-  help: `Sets LABEL=VALUE, or removes LABEL with a dash behind it. Ends like \`apply\`.`,
+  help: `Sets LABEL=VALUE, or removes a label given as LABEL-. Exits like \`apply\`.`,
   settings: command.SETTINGS,
   run: (input) => {
     const [kind, name, ...edits] = input.args;
-    if (edits.length === 0) throw new command.UsageError("No label is named.");
+    if (edits.length === 0)
+      throw new command.UsageError("At least one LABEL=VALUE or LABEL- is required.");
     return relabel(input, kind, name, edits);
   },
 };
@@ -191,7 +192,7 @@
   usage: "endpoint|host|failuredomain NAME [--undo]",
   summary: "let endpoints finish and send them no new work",
   help: `Sets the label ${intents.DRAIN_LABEL}=true on an endpoint, a host or a failure domain,
-or removes it with --undo. What runs there ends; what waits goes elsewhere.`,
+or removes it with --undo. Running requests finish there; waiting ones go elsewhere.`,
   settings: command.SETTINGS,
   flags: { undo: { type: "boolean" } },
   run: (input) => {
@@ -205,29 +206,30 @@
   name: "delete",
   usage: "KIND NAME",
   summary: "remove one declared object",
-  help: `Removes one object from the intent. Requests under way end as they began.`,
+  help: `Removes one object from the intent. Requests in flight finish as they started.`,
   settings: command.SETTINGS,
   run: async (input) => {
     const deps = command.open(input);
-    const found = await one(deps, input);
+    const found = await findObject(deps, input);
     return report(await change.apply({ puts: [], deletes: [objects.keyOf(found)] }, deps));
   },
 };
 
-const HISTORY = 20;
+/** Changes that `history` shows when no revision is given. */
+const HISTORY_LENGTH = 20;
 
 const history: command.Command = {
   name: "history",
   usage: "[REVISION]",
   summary: "show who changed what and when",
-  help: `Shows the last ${HISTORY} changes kept, or those after REVISION.`,
+  help: `Shows the last ${HISTORY_LENGTH} changes kept, or those after REVISION.`,
   settings: command.SETTINGS,
   run: async (input) => {
     const deps = command.open(input);
     const { head } = await journal.readHead(deps.store);
-    const from = Number(input.args[0] ?? Math.max(0, head.revision - HISTORY));
+    const from = Number(input.args[0] ?? Math.max(0, head.revision - HISTORY_LENGTH));
     if (!Number.isInteger(from) || from < 0) {
-      throw new command.UsageError(`${input.args[0] ?? ""} is no revision.`);
+      throw new command.UsageError(`${input.args[0] ?? ""} is not a revision.`);
     }
     const changes = await journal.readAfter(deps.store, from);
     const rows = changes.map((c) => [
@@ -245,11 +247,11 @@
   name: "settle",
   usage: "REVISION ID",
   summary: "find out what became of a change whose reply was lost",
-  help: `Tells whether the change ID became REVISION, with the words \`apply\` gave.`,
+  help: `Tells whether the change ID was accepted as REVISION; \`apply\` prints both.`,
   settings: command.SETTINGS,
   run: async (input) => {
     const [revision, id] = input.args;
-    if (!revision || !id) throw new command.UsageError("REVISION and ID are wanted.");
+    if (!revision || !id) throw new command.UsageError("REVISION and ID are required.");
     const deps = command.open(input);
     const found = await change.settle(Number(revision), id, deps);
     if (found === "not_accepted") {
@@ -274,7 +276,7 @@
   },
 };
 
-/** The commands of this part, as lists show them. */
+/** The commands, in the order in which the overview lists them. */
 export const commands: readonly command.Command[] = [
   apply,
   diff,
--- a/src/cli/look.ts
+++ b/src/cli/look.ts
@@ -1,20 +1,20 @@
 /**
- * The commands that look at the daemons.
+ * The commands that show the state of the daemons.
  * @module
  */
 import type * as control from "../link/control.js";
 import type * as hosts from "../store/hosts.js";
 import * as command from "./command.js";
 
-const MB = 1024 * 1024;
+const BYTES_PER_MB = 1024 * 1024;
 
-interface Seen {
+interface MemberStatus {
   readonly member: hosts.Member;
-  /** Undefined when it did not answer. */
+  /** Undefined if the daemon did not answer. */
   readonly status: control.Status | undefined;
 }
 
-function row({ member: m, status: s }: Seen): readonly string[] {
+function toRow({ member: m, status: s }: MemberStatus): readonly string[] {
   if (!s) return [m.name, m.role, m.failureDomain, "no answer", "-", "-", "-", "-", "-", "-"];
   return [
     m.name,
@@ -25,12 +25,12 @@
     String(s.running),
     String(s.waiting),
     `${s.storeCalls}${s.watching ? "+watch" : ""}`,
-    `${Math.round(s.rssBytes / MB)} MB`,
+    `${Math.round(s.rssBytes / BYTES_PER_MB)} MB`,
     s.loaded.join(" "),
   ];
 }
 
-const HEAD = [
+const HEADER = [
   "NAME",
   "ROLE",
   "FAILURE DOMAIN",
@@ -46,7 +46,7 @@
 const status: command.Command = {
   name: "status",
   usage: "[--json]",
-  summary: "show what each daemon has in force, holds and does",
+  summary: "show each daemon's revision, work and loaded adapters",
   help: `Asks every listed daemon. --json adds its histograms for each caller and class.
 Exit 3 when a daemon does not answer or lacks the newest revision.`,
   settings: command.SETTINGS,
@@ -54,17 +54,17 @@
   run: async (input) => {
     const deps = command.open(input);
     const listed = await deps.hosts.list();
-    const seen: readonly Seen[] = await Promise.all(
+    const statuses: readonly MemberStatus[] = await Promise.all(
       listed.map(async (member) => {
         const query = deps.peer(member).status.query();
         return { member, status: await query.catch(() => undefined) };
       }),
     );
-    if (input.flags.json) command.out(JSON.stringify(seen, null, 2));
-    else command.out(command.table([HEAD, ...seen.map(row)]));
-    const newest = Math.max(...seen.map((s) => s.status?.revision ?? 0));
-    const all = seen.every((s) => s.status?.revision === newest);
-    return all ? command.EXIT.done : command.EXIT.notInForce;
+    if (input.flags.json) command.out(JSON.stringify(statuses, null, 2));
+    else command.out(command.table([HEADER, ...statuses.map(toRow)]));
+    const newest = Math.max(...statuses.map((s) => s.status?.revision ?? 0));
+    const allCurrent = statuses.every((s) => s.status?.revision === newest);
+    return allCurrent ? command.EXIT.done : command.EXIT.notInForce;
   },
 };
 
@@ -77,7 +77,7 @@
   settings: command.SETTINGS,
   run: async (input) => {
     const [caller, model] = input.args;
-    if (!caller || !model) throw new command.UsageError("CALLER and ADAPTER are wanted.");
+    if (!caller || !model) throw new command.UsageError("CALLER and ADAPTER are required.");
     const deps = command.open(input);
     const entry = (await deps.hosts.list()).find((m) => m.role === "entry" && !m.leaving);
     if (!entry) throw new command.UsageError("The list of hosts has no entry daemon.");
@@ -86,5 +86,5 @@
   },
 };
 
-/** The commands of this part. */
+/** The commands, in the order in which the overview lists them. */
 export const commands: readonly command.Command[] = [status, explain];
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The command line.
+ * The command line: runs the command named by the first argument.
  * @module
  */
 import * as settings from "../host/settings.js";
@@ -49,10 +49,10 @@
   },
   (err: unknown) => {
     process.stderr.write(`sumacfield: ${err instanceof Error ? err.message : String(err)}\n`);
-    const misused =
+    const isUsageError =
       err instanceof command.UsageError ||
       err instanceof settings.SettingError ||
       err instanceof files.FileError;
-    process.exit(misused ? command.EXIT.usage : command.EXIT.failed);
+    process.exit(isUsageError ? command.EXIT.usage : command.EXIT.failed);
   },
 );
--- a/src/demo/process.ts
+++ b/src/demo/process.ts
@@ -1,26 +1,28 @@
 /**
- * The demo's processes: starts them, reads what they print, and ends them.
+ * Starts the processes of the demo, reads their output, and kills them at the end.
  * @module
  */
 import * as child from "node:child_process";
 import * as readline from "node:readline";
 import * as url from "node:url";
 
-const here = (path: string): string => url.fileURLToPath(new URL(path, import.meta.url));
-const CLI = here("../cli/main.js");
-const STAND_IN = here("../standin/main.js");
+const resolvePath = (path: string): string => url.fileURLToPath(new URL(path, import.meta.url));
+const CLI = resolvePath("../cli/main.js");
+const STAND_IN = resolvePath("../standin/main.js");
 
-/** A process of the demo. */
+/** A running process of the demo. */
 export interface Running {
   readonly name: string;
-  /** What it said of its addresses. */
+  /** Addresses (`ip:port`) that it printed when it began to listen. */
   readonly addresses: readonly string[];
   readonly signal: (signal: NodeJS.Signals) => void;
-  /** Its exit code, once it ended; null for a signal. */
+  /** Resolves to its exit code when it exits; null if a signal ended it. */
   readonly ended: Promise<number | null>;
 }
 
-const started: { readonly proc: child.ChildProcess; readonly ended: Promise<number | null> }[] = [];
+/** Every process that was started, for {@link killAll}. */
+const children: { readonly proc: child.ChildProcess; readonly ended: Promise<number | null> }[] =
+  [];
 
 function spawn(name: string, file: string, args: readonly string[], env: NodeJS.ProcessEnv) {
   const proc = child.spawn(process.execPath, [file, ...args], {
@@ -30,7 +32,7 @@
   const ended = new Promise<number | null>((resolve) => {
     proc.once("exit", resolve);
   });
-  started.push({ proc, ended });
+  children.push({ proc, ended });
   const running = (addresses: readonly string[]): Running => ({
     name,
     addresses,
@@ -42,33 +44,33 @@
   return { proc, ended, running };
 }
 
-/** Starts a stand-in and waits for its address. */
-export async function standIn(kind: string, given: object): Promise<Running> {
-  const { proc, running } = spawn(kind, STAND_IN, [kind, JSON.stringify(given)], {});
+/** Starts a stand-in and waits until it prints its address. */
+export async function standIn(kind: string, options: object): Promise<Running> {
+  const { proc, running } = spawn(kind, STAND_IN, [kind, JSON.stringify(options)], {});
   proc.stderr.pipe(process.stderr);
   for await (const line of readline.createInterface({ input: proc.stdout })) {
-    const at = JSON.parse(line) as { address: string };
-    return running([at.address]);
+    const listening = JSON.parse(line) as { address: string };
+    return running([listening.address]);
   }
-  throw new Error(`the stand-in ${kind} ended early`);
+  throw new Error(`the stand-in ${kind} exited before it printed its address`);
 }
 
-/** Starts a daemon and waits until it says where it listens. */
+/** Starts a daemon and waits until it logs the addresses it listens on. */
 export async function daemon(
   role: "entry" | "endpoint",
   name: string,
   env: NodeJS.ProcessEnv,
 ): Promise<Running> {
-  const all = { ...env, SUMACFIELD_NAME: name, SUMACFIELD_LOG_FORMAT: "json" };
-  const { proc, running } = spawn(name, CLI, [role], all);
+  const daemonEnv = { ...env, SUMACFIELD_NAME: name, SUMACFIELD_LOG_FORMAT: "json" };
+  const { proc, running } = spawn(name, CLI, [role], daemonEnv);
   const lines = readline.createInterface({ input: proc.stderr });
   const addresses = await new Promise<readonly string[]>((resolve, reject) => {
     proc.once("exit", () => {
-      reject(new Error(`${name} ended early`));
+      reject(new Error(`${name} exited before it listened`));
     });
     lines.on("line", (line) => {
-      const found = line.includes("Listening") ? line.match(/127\.0\.0\.1:\d+/g) : null;
-      if (found) resolve(found);
+      const listenAddresses = line.includes("Listening") ? line.match(/127\.0\.0\.1:\d+/g) : null;
+      if (listenAddresses) resolve(listenAddresses);
       if (line.includes('"level":"error"')) process.stderr.write(`${line}\n`);
       if (!line.startsWith("{")) process.stderr.write(`${name}: ${line}\n`);
     });
@@ -76,7 +78,7 @@
   return running(addresses);
 }
 
-/** Runs one command to its end. */
+/** Runs one command of the command line, and returns its exit code and all its output. */
 export async function command(
   args: readonly string[],
   env: NodeJS.ProcessEnv,
@@ -93,8 +95,8 @@
   return { code, text };
 }
 
-/** Ends everything that was started and is still there. */
+/** Kills every process that still runs, and waits for it to exit. */
 export async function endAll(): Promise<void> {
-  for (const { proc } of started) if (proc.exitCode === null) proc.kill("SIGKILL");
-  await Promise.all(started.map((s) => s.ended));
+  for (const { proc } of children) if (proc.exitCode === null) proc.kill("SIGKILL");
+  await Promise.all(children.map((s) => s.ended));
 }
--- a/src/operator/change.ts
+++ b/src/operator/change.ts
@@ -1,5 +1,5 @@
 /**
- * Applies a change to the intent, and tells what is true of it afterwards.
+ * Applies a change to the intent and reports the outcome: in force, accepted, refused or unknown.
  * @module
  */
 import * as crypto from "node:crypto";
@@ -12,43 +12,48 @@
 import * as journal from "../store/journal.js";
 import type * as store from "../store/store.js";
 
-/** What an operator wants: objects to be as given, and keys to be gone. */
+/** The change that an operator requests: objects to create or replace, and keys to delete. */
 export interface Wish {
   readonly puts: readonly objects.Obj[];
   readonly deletes: readonly string[];
 }
 
+/** What the operations need from their surroundings. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly store: store.Store;
   readonly hosts: hosts.Hosts;
+  /** Connects to the control interface of a daemon. */
   readonly peer: (m: hosts.Member) => control.Peer;
-  /** Name of whoever applies, for the history. */
+  /** Name of the operator, recorded in the history. */
   readonly by: string;
-  /** Milliseconds to wait for the change to be in force everywhere. */
+  /** Milliseconds to wait for a change to be in force at every listed daemon. */
   readonly waitMs: number;
-  /** Milliseconds between looks at the daemons meanwhile. */
+  /** Milliseconds between two polls of the daemons while waiting. */
   readonly lookMs: number;
 }
 
-/** How one object differs: as it is, and as it is wished. */
+/** The difference between the current and the requested version of one object; undefined stands for no object. */
 export interface Difference {
   readonly key: string;
   readonly now: objects.Obj | undefined;
   readonly wished: objects.Obj | undefined;
 }
 
-/** What is true after an attempt to apply. */
+/** The outcome of applying a change. */
 export type Applied =
   | { readonly kind: "unchanged"; readonly revision: number }
   | { readonly kind: "in_force"; readonly revision: number; readonly ms: number }
-  /** Accepted, but not yet seen in force at these daemons. */
+  /** Stored, but the daemons in `missing` have not yet reported it in force. */
   | { readonly kind: "accepted"; readonly revision: number; readonly missing: readonly string[] }
-  /** Somebody else changed the same objects meanwhile: theirs against ours. */
+  /** Another operator changed the same objects concurrently: `now` is their version, `wished` is ours. */
   | { readonly kind: "refused"; readonly differences: readonly Difference[] }
-  /** The store holds less than what is in force at a daemon. */
+  /** The newest revision in the store is older than one that is in force at a daemon. */
   | { readonly kind: "store_behind"; readonly store: number; readonly daemons: number }
-  /** The reply was lost, and the store does not tell. */
+  /**
+   * It is not known whether the change was stored: the reply to the write was lost, or the intent
+   * changed on every attempt.
+   */
   | {
       readonly kind: "unknown";
       readonly revision: number;
@@ -56,7 +61,7 @@
       readonly why: string;
     };
 
-/** The differences between the intent and a wish. */
+/** Returns the objects that `wish` would change or delete in the intent. */
 export function differences(now: intents.Intent, wish: Wish): readonly Difference[] {
   const changed = wish.puts
     .map((o) => ({ key: objects.keyOf(o), now: now.objects.get(objects.keyOf(o)), wished: o }))
@@ -67,37 +72,38 @@
   return [...changed, ...gone];
 }
 
-const TRIES = 5;
+/** Attempts to write a change while other operators change other objects. */
+const MAX_ATTEMPTS = 5;
 
-/** Applies a wish against the newest intent in the store. */
+/** Applies `wish` to the newest intent in the store, and waits for it to be in force. */
 export async function apply(wish: Wish, deps: Deps): Promise<Applied> {
   let base = await journal.catchUp(deps.store, intents.EMPTY);
-  const ahead = await newestDaemon(deps);
-  if (ahead > base.revision) {
-    // A daemon may have heard of a change after the store was read here.
+  const newestRevision = await newestDaemonRevision(deps);
+  if (newestRevision > base.revision) {
+    // A daemon may have received a change that was stored after the read above.
     base = await journal.catchUp(deps.store, base);
-    if (ahead > base.revision) {
-      return { kind: "store_behind", store: base.revision, daemons: ahead };
+    if (newestRevision > base.revision) {
+      return { kind: "store_behind", store: base.revision, daemons: newestRevision };
     }
   }
-  for (let i = 0; i < TRIES; i++) {
-    const wanted = differences(base, wish);
-    if (wanted.length === 0) return { kind: "unchanged", revision: base.revision };
-    const change = changesetFor(wanted, base, deps);
-    const began = deps.clock.mono();
+  for (let i = 0; i < MAX_ATTEMPTS; i++) {
+    const diffs = differences(base, wish);
+    if (diffs.length === 0) return { kind: "unchanged", revision: base.revision };
+    const change = changesetFor(diffs, base, deps);
+    const startedAt = deps.clock.mono();
     const added = await journal.add(deps.store, change);
     switch (added.kind) {
       case "accepted":
         await journal.snapshot(deps.store, intents.step(base, change)).catch(() => false);
-        return inForce(added.revision, began, deps);
+        return inForce(added.revision, startedAt, deps);
       case "unknown":
         return { kind: "unknown", revision: change.revision, id: change.id, why: added.why };
       case "conflict": {
         const newer = await journal.catchUp(deps.store, base);
-        const touched = wanted.filter(
+        const conflicts = diffs.filter(
           (d) => !util.isDeepStrictEqual(d.now, newer.objects.get(d.key)),
         );
-        if (touched.length > 0) return refusal(touched, newer);
+        if (conflicts.length > 0) return refusedResult(conflicts, newer);
         base = newer;
         break;
       }
@@ -107,19 +113,19 @@
     kind: "unknown",
     revision: base.revision,
     id: "",
-    why: "others kept changing the intent",
+    why: "the intent changed again on every attempt",
   };
 }
 
-function refusal(touched: readonly Difference[], newer: intents.Intent): Applied {
+function refusedResult(conflicts: readonly Difference[], newer: intents.Intent): Applied {
   return {
     kind: "refused",
-    differences: touched.map((d) => ({ ...d, now: newer.objects.get(d.key) })),
+    differences: conflicts.map((d) => ({ ...d, now: newer.objects.get(d.key) })),
   };
 }
 
 function changesetFor(
-  wanted: readonly Difference[],
+  diffs: readonly Difference[],
   base: intents.Intent,
   deps: Deps,
 ): intents.Changeset {
@@ -129,15 +135,16 @@
     by: deps.by,
     id: crypto.randomUUID(),
     previous: base.id,
-    puts: wanted.flatMap((d) => (d.wished ? [d.wished] : [])),
-    deletes: wanted.flatMap((d) => (d.wished ? [] : [d.key])),
+    puts: diffs.flatMap((d) => (d.wished ? [d.wished] : [])),
+    deletes: diffs.flatMap((d) => (d.wished ? [] : [d.key])),
   };
 }
 
-async function revisions(deps: Deps): Promise<ReadonlyMap<string, number>> {
-  const listed = await deps.hosts.list().catch(() => []);
-  const told = await Promise.all(
-    listed.map(async (m) => {
+/** The revision in force at each listed daemon, by name; -1 for a daemon that does not answer. */
+async function daemonRevisions(deps: Deps): Promise<ReadonlyMap<string, number>> {
+  const members = await deps.hosts.list().catch(() => []);
+  const entries = await Promise.all(
+    members.map(async (m) => {
       const status = await deps
         .peer(m)
         .status.query()
@@ -145,47 +152,50 @@
       return [m.name, status?.revision ?? -1] as const;
     }),
   );
-  return new Map(told);
+  return new Map(entries);
 }
 
-async function newestDaemon(deps: Deps): Promise<number> {
-  return Math.max(0, ...(await revisions(deps)).values());
+async function newestDaemonRevision(deps: Deps): Promise<number> {
+  return Math.max(0, ...(await daemonRevisions(deps)).values());
 }
 
-/** Waits until every listed daemon has `revision` in force, or the patience is over. */
-export async function inForce(revision: number, began: number, deps: Deps): Promise<Applied> {
+/**
+ * Waits until every listed daemon has `revision` in force, at most `waitMs` from `startedAt`, a time
+ * of the monotonic clock.
+ */
+export async function inForce(revision: number, startedAt: number, deps: Deps): Promise<Applied> {
   for (;;) {
-    const told = await revisions(deps);
-    const missing = [...told].filter(([, r]) => r < revision).map(([name]) => name);
-    const ms = deps.clock.mono() - began;
+    const revisions = await daemonRevisions(deps);
+    const missing = [...revisions].filter(([, r]) => r < revision).map(([name]) => name);
+    const ms = deps.clock.mono() - startedAt;
     if (missing.length === 0) return { kind: "in_force", revision, ms: Math.round(ms) };
     if (ms >= deps.waitMs) return { kind: "accepted", revision, missing };
     await clock.sleep(deps.clock, deps.lookMs);
   }
 }
 
-/** Settles an `unknown`: whether the changeset `id` became `revision`. */
+/** Resolves an `unknown` outcome: whether the changeset `id` was stored as `revision`. */
 export async function settle(
   revision: number,
   id: string,
   deps: Deps,
 ): Promise<"accepted" | "not_accepted"> {
-  const [there] = await journal.readAfter(deps.store, revision - 1);
-  return there?.revision === revision && there.id === id ? "accepted" : "not_accepted";
+  const [recorded] = await journal.readAfter(deps.store, revision - 1);
+  return recorded?.revision === revision && recorded.id === id ? "accepted" : "not_accepted";
 }
 
 /**
- * Writes back what a store lost, from the daemon with the newest intent. Returns the revision that
- * the store is at afterwards.
+ * Writes the changes that the store lost back to it, from the daemon with the newest intent. Returns
+ * the resulting revision of the store.
  */
 export async function restore(deps: Deps): Promise<number> {
-  const told = [...(await revisions(deps))].sort((a, b) => b[1] - a[1]);
-  const best = (await deps.hosts.list()).find((m) => m.name === told[0]?.[0]);
+  const newestFirst = [...(await daemonRevisions(deps))].sort((a, b) => b[1] - a[1]);
+  const newestMember = (await deps.hosts.list()).find((m) => m.name === newestFirst[0]?.[0]);
   const base = await journal.catchUp(deps.store, intents.EMPTY);
-  if (!best) return base.revision;
-  let at = base.revision;
+  if (!newestMember) return base.revision;
+  let storeRevision = base.revision;
   for (;;) {
-    const page = await deps.peer(best).changesAfter.query({ revision: at });
+    const page = await deps.peer(newestMember).changesAfter.query({ revision: storeRevision });
     if (page.kind === "whole") {
       await journal.replace(deps.store, {
         revision: page.revision,
@@ -194,13 +204,13 @@
       });
       return page.revision;
     }
-    if (page.changes.length === 0) return at;
+    if (page.changes.length === 0) return storeRevision;
     for (const change of page.changes) {
       const added = await journal.add(deps.store, change);
       if (added.kind !== "accepted") {
         throw new Error(`revision ${change.revision} could not be written back: ${added.kind}`);
       }
-      at = change.revision;
+      storeRevision = change.revision;
     }
   }
 }
--- a/src/operator/files.ts
+++ b/src/operator/files.ts
@@ -1,13 +1,13 @@
 /**
- * Reads declared objects from YAML or JSON. An error names the file, the object, the field and what
- * was expected; then nothing is applied.
+ * Reads and validates declared objects from YAML or JSON. If any object is invalid, none is returned,
+ * and the error names the file, the object, the field and what was expected.
  * @module
  */
 import * as fs from "node:fs/promises";
 import * as yaml from "yaml";
 import * as objects from "../contract/objects.js";
 
-/** Every fault found in the files, a line each. */
+/** Reports every fault found in the files, one per line. */
 export class FileError extends Error {
   override readonly name = "FileError";
   constructor(readonly faults: readonly string[]) {
@@ -15,10 +15,10 @@
   }
 }
 
-/** The objects in a text; `file` names it in faults. Throws {@link FileError}. */
+/** Parses the objects in `text`; faults refer to it as `file`. Throws {@link FileError}. */
 export function parse(text: string, file: string): readonly objects.Obj[] {
   const faults: string[] = [];
-  const found: objects.Obj[] = [];
+  const objs: objects.Obj[] = [];
   for (const [i, doc] of yaml.parseAllDocuments(text).entries()) {
     if ("errors" in doc && doc.errors.length > 0) {
       faults.push(...doc.errors.map((e) => `${file}: ${e.message.split("\n")[0] ?? ""}`));
@@ -26,40 +26,45 @@
     }
     const raw: unknown = "toJS" in doc ? doc.toJS() : null;
     if (raw === null) continue;
-    for (const [j, one] of (Array.isArray(raw) ? raw : [raw]).entries()) {
-      check(one, `${file}: ${label(one, i + j + 1)}`, found, faults);
+    for (const [j, item] of (Array.isArray(raw) ? raw : [raw]).entries()) {
+      validateObject(item, `${file}: ${describeObject(item, i + j + 1)}`, objs, faults);
     }
   }
   const seen = new Set<string>();
-  for (const o of found) {
+  for (const o of objs) {
     const key = objects.keyOf(o);
     if (seen.has(key)) faults.push(`${file}: ${key} stands twice`);
     seen.add(key);
   }
   if (faults.length > 0) throw new FileError(faults);
-  return found;
+  return objs;
 }
 
-function label(raw: unknown, position: number): string {
+function describeObject(raw: unknown, position: number): string {
   const o = raw as { kind?: unknown; metadata?: { name?: unknown } } | null;
   const kind = typeof o?.kind === "string" ? o.kind : "object";
   const name = o?.metadata?.name;
   return typeof name === "string" ? `${kind} ${name}` : `${kind} number ${position}`;
 }
 
-function check(raw: unknown, where: string, found: objects.Obj[], faults: string[]): void {
+function validateObject(
+  raw: unknown,
+  location: string,
+  objs: objects.Obj[],
+  faults: string[],
+): void {
   const parsed = objects.schema.safeParse(raw);
   if (parsed.success) {
-    found.push(parsed.data);
+    objs.push(parsed.data);
     return;
   }
   for (const issue of parsed.error.issues) {
     const field = issue.path.map(String).join(".");
-    faults.push(`${where}: ${field === "" ? "the object" : field}: ${issue.message}`);
+    faults.push(`${location}: ${field === "" ? "the object" : field}: ${issue.message}`);
   }
 }
 
-/** The objects in some files, `-` being standard input. */
+/** Reads the objects in the given files; `-` is standard input. Throws {@link FileError}. */
 export async function read(paths: readonly string[]): Promise<readonly objects.Obj[]> {
   const all: objects.Obj[] = [];
   const faults: string[] = [];
--- a/src/operator/quarantines.ts
+++ b/src/operator/quarantines.ts
@@ -1,5 +1,5 @@
 /**
- * Requests in quarantine, for operators: which there are and why, releasing one, and putting one there by hand.
+ * Lists the requests in quarantine for operators, with the evidence, and releases or quarantines a request by hand.
  * @module
  */
 import type * as clock from "../host/clock.js";
@@ -8,31 +8,34 @@
 import * as suspicion from "../serving/suspicion.js";
 import type * as source from "../store/source.js";
 
+/** What the operations need from their surroundings. */
 export interface Deps {
   readonly clock: clock.Clock;
   readonly source: Pick<source.Source, "list" | "claim">;
-  /** Deletes a key from the store, which need not be there. */
+  /** Deletes a key from the store; does nothing if the key does not exist. */
   readonly remove: (key: string) => Promise<void>;
 }
 
-/** One request in quarantine. */
+/** A request in quarantine. */
 export interface Entry {
   readonly identity: string;
-  /** Undefined where the key holds no evidence that can be read. */
+  /** Undefined if the evidence stored under the key cannot be read. */
   readonly evidence: quarantine.Evidence | undefined;
 }
 
-/** An identity that is none. */
+/** The given text is not the identity of a request. */
 export class IdentityError extends Error {
   override readonly name = "IdentityError";
 }
 
-function checked(identity: string): string {
+function validateIdentity(identity: string): string {
   if (identities.PATTERN.test(identity)) return identity;
-  throw new IdentityError(`${identity} is no request's identity: 22 letters, as the log tells it`);
+  throw new IdentityError(
+    `${identity} is not a request's identity: expected 22 characters, as written in the log`,
+  );
 }
 
-/** All there are. */
+/** Lists all requests in quarantine. */
 export async function list(deps: Deps): Promise<readonly Entry[]> {
   const { documents } = await deps.source.list(quarantine.PREFIX);
   return documents.map((d) => ({
@@ -41,16 +44,16 @@
   }));
 }
 
-/** Releases a request: what was known of it counts no more, on all hosts. Throws {@link IdentityError}. */
+/** Releases a request: all hosts discard the evidence against it. Throws {@link IdentityError}. */
 export async function release(deps: Deps, identity: string): Promise<void> {
-  await deps.remove(quarantine.keyOf(checked(identity)));
+  await deps.remove(quarantine.keyOf(validateIdentity(identity)));
 }
 
 /**
- * Puts a request in quarantine for as long as evidence would; false when it was there already. Throws
- * {@link IdentityError}.
+ * Puts a request in quarantine for as long as evidence against it would. Returns false if it was in quarantine
+ * already. Throws {@link IdentityError}.
  */
 export function mark(deps: Deps, identity: string): Promise<boolean> {
   const text = quarantine.encode({ workers: [], at: deps.clock.now() });
-  return deps.source.claim(quarantine.keyOf(checked(identity)), suspicion.LAPSE_MS, text);
+  return deps.source.claim(quarantine.keyOf(validateIdentity(identity)), suspicion.LAPSE_MS, text);
 }
--- a/src/standin/engine.ts
+++ b/src/standin/engine.ts
@@ -1,67 +1,70 @@
 /**
- * A stand-in for an engine behind vLLM's OpenAI-compatible server with run-time LoRA: slots for
- * adapters, continuous batching by steps, loads through the weight store, and a journal of what it
- * did, so that a wrong or evicted adapter shows.
+ * A stand-in for an engine: vLLM's OpenAI-compatible server with run-time LoRA. It has slots for
+ * adapters, batches continuously in steps, loads adapters through the weight store, and keeps a
+ * journal, in which tests see a wrong adapter or one that was evicted in use.
  * @module
  */
 import type * as http from "node:http";
 import * as undici from "undici";
 import * as server from "./server.js";
 
+/** Settings of an engine. */
 export interface Options {
   readonly slots: number;
   readonly seats: number;
+  /** Milliseconds of one step, in which each running request gets one token. */
   readonly stepMs: number;
   readonly baseModel: string;
-  /** Whether orders with an old fencing number are refused. */
+  /** Whether orders with an outdated fencing number are refused. */
   readonly fencing: boolean;
 }
 
-/** How the engine misbehaves. */
+/** Failures to inject into the engine. */
 export interface Faults {
-  /** So many of the next orders take effect, and their replies are lost. */
+  /** Number of coming orders that take effect but whose replies are lost. */
   loseReplies: number;
-  /** Milliseconds that the next order waits before it takes effect, its caller gone or not. */
+  /** Milliseconds that the next order waits before it takes effect, even if its caller disconnects. */
   delayOrderMs: number;
-  /** Loads are refused. */
+  /** Whether loads are refused. */
   refuseLoads: boolean;
-  /** So many of the next answers name another model. */
+  /** Number of coming answers that name another model. */
   wrongModels: number;
-  /** So many of the next answers carry another request's id. */
+  /** Number of coming answers that carry another request's id. */
   wrongIds: number;
-  /** So many of the next answers break off half-way. */
+  /** Number of coming answers that are cut off half-way. */
   breakAnswers: number;
-  /** Milliseconds by which counts lag. */
+  /** Milliseconds by which the request counts in the metrics lag. */
   lagMs: number;
-  /** Milliseconds that a cancelled request still runs. */
+  /** Milliseconds that a cancelled request keeps running. */
   slowCancelMs: number;
-  /** Milliseconds that a request is on its way before the engine has it. */
+  /** Milliseconds that a request takes to arrive at the engine. */
   slowArrivalMs: number;
-  /** Steps stand still. */
+  /** Whether the engine generates nothing. */
   frozen: boolean;
-  /** The start of the process is left out of the metrics, as engines of several processes do. */
+  /** Whether the metrics omit the start time of the process, as engines of several processes do. */
   noStartTime: boolean;
 }
 
-/** One thing the engine did or suffered. */
+/** An entry of the engine's journal. */
 export type Event =
   | { readonly kind: "load" | "unload"; readonly name: string }
   | { readonly kind: "run"; readonly id: string; readonly name: string; readonly prompt: string }
   | { readonly kind: "finish"; readonly id: string }
-  /** An adapter was unloaded under a request: what must never happen. */
+  /** An adapter was unloaded while a request was using it, which must never happen. */
   | { readonly kind: "evicted-in-use"; readonly name: string; readonly id: string };
 
+/** A request that runs or waits in the engine. */
 interface Sequence {
   readonly id: string;
   readonly name: string;
   readonly priority: number;
-  readonly tokens: number;
-  done: number;
+  readonly maxTokens: number;
+  generatedTokens: number;
   readonly emit: (token: number) => void;
   readonly end: () => void;
 }
 
-interface Asked {
+interface CompletionRequest {
   readonly model: string;
   readonly prompt?: string;
   readonly messages?: readonly { readonly content: string }[];
@@ -70,13 +73,16 @@
   readonly priority?: number;
 }
 
-interface Order {
+/** The body of a load or unload. */
+interface LoraOrder {
   readonly lora_name: string;
   readonly lora_path?: string;
 }
 
-const DEFAULT_TOKENS = 8;
+/** Tokens generated for a request that sets no `max_tokens`. */
+const DEFAULT_MAX_TOKENS = 8;
 
+/** An engine that serves requests in memory. */
 export class Engine {
   readonly faults: Faults = {
     loseReplies: 0,
@@ -92,42 +98,44 @@
     noStartTime: false,
   };
   readonly journal: Event[] = [];
-  /** Seats used in each step that ran. */
+  /** The number of seats in use in each step so far. */
   readonly fill: number[] = [];
   private startedAt = Date.now() / 1000;
   private loaded = new Map<string, string>();
   private running: Sequence[] = [];
   private waiting: Sequence[] = [];
-  private readonly responses = new Set<http.ServerResponse>();
-  private counts = { running: 0, waiting: 0 };
-  private fence = 0;
-  private stepping = false;
+  private readonly openResponses = new Set<http.ServerResponse>();
+  private reportedCounts = { running: 0, waiting: 0 };
+  private highestFencingNumber = 0;
+  private isStepping = false;
+  /** While true, every connection is closed without an answer. */
   down = false;
 
   constructor(private readonly opts: Options) {}
 
-  /** Comes back cold: nothing loaded, every answer cut. */
+  /** Restarts the engine with nothing loaded; cuts off every answer in progress. */
   restart(): void {
     this.startedAt += 1;
     this.loaded = new Map();
     this.running = [];
     this.waiting = [];
-    for (const res of this.responses) res.destroy();
-    this.responses.clear();
-    this.fence = 0;
-    this.count();
+    for (const res of this.openResponses) res.destroy();
+    this.openResponses.clear();
+    this.highestFencingNumber = 0;
+    this.updateCounts();
   }
 
-  /** Loads an adapter as a hand at the engine would. */
+  /** Loads an adapter without an order, as an operator might by hand. */
   preload(name: string): void {
     this.loaded.set(name, "");
   }
 
-  /** Drops every adapter, as a hand at the engine would. */
+  /** Unloads every adapter without an order, as an operator might by hand. */
   forgetAll(): void {
     this.loaded.clear();
   }
 
+  /** The names of the loaded adapters. */
   names(): readonly string[] {
     return [...this.loaded.keys()];
   }
@@ -143,31 +151,31 @@
         res.writeHead(200).end();
         return;
       case "/metrics":
-        res.writeHead(200, { "content-type": "text/plain" }).end(this.metrics());
+        res.writeHead(200, { "content-type": "text/plain" }).end(this.metricsText());
         return;
       case "/journal":
         server.json(res, 200, this.journal);
         return;
       case "/v1/models":
-        server.json(res, 200, { object: "list", data: this.models() });
+        server.json(res, 200, { object: "list", data: this.modelList() });
         return;
       case "/v1/load_lora_adapter":
       case "/v1/unload_lora_adapter":
-        await this.order(path, JSON.parse(body) as Order, req, res);
+        await this.executeOrder(path, JSON.parse(body) as LoraOrder, req, res);
         return;
       case "/v1/completions":
       case "/v1/chat/completions":
         if (this.faults.slowArrivalMs > 0) {
           await new Promise((r) => setTimeout(r, this.faults.slowArrivalMs));
         }
-        this.generate(JSON.parse(body) as Asked, req, res);
+        this.generate(JSON.parse(body) as CompletionRequest, req, res);
         return;
       default:
         server.json(res, 404, { error: { message: "no such path" } });
     }
   };
 
-  private models(): object[] {
+  private modelList(): object[] {
     const base = { id: this.opts.baseModel, object: "model", parent: null };
     const adapters = this.names().map((id) => ({
       id,
@@ -177,40 +185,40 @@
     return [base, ...adapters];
   }
 
-  private metrics(): string {
+  private metricsText(): string {
     return [
       ...(this.faults.noStartTime ? [] : [`process_start_time_seconds ${this.startedAt}`]),
-      `vllm:num_requests_running{model_name="${this.opts.baseModel}"} ${this.counts.running}`,
-      `vllm:num_requests_waiting{model_name="${this.opts.baseModel}"} ${this.counts.waiting}`,
+      `vllm:num_requests_running{model_name="${this.opts.baseModel}"} ${this.reportedCounts.running}`,
+      `vllm:num_requests_waiting{model_name="${this.opts.baseModel}"} ${this.reportedCounts.waiting}`,
       "",
     ].join("\n");
   }
 
-  private count(): void {
+  private updateCounts(): void {
     const counts = { running: this.running.length, waiting: this.waiting.length };
-    if (this.faults.lagMs === 0) this.counts = counts;
-    else setTimeout(() => (this.counts = counts), this.faults.lagMs);
+    if (this.faults.lagMs === 0) this.reportedCounts = counts;
+    else setTimeout(() => (this.reportedCounts = counts), this.faults.lagMs);
   }
 
-  private async order(
+  private async executeOrder(
     path: string,
-    order: Order,
+    order: LoraOrder,
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    const fence = Number(req.headers["x-fencing-token"] ?? 0);
-    const life = this.startedAt;
+    const fencingNumber = Number(req.headers["x-fencing-token"] ?? 0);
+    const startedAt = this.startedAt;
     const delay = this.faults.delayOrderMs;
     this.faults.delayOrderMs = 0;
     if (delay > 0) await new Promise((r) => setTimeout(r, delay));
-    if (this.opts.fencing && fence < this.fence) {
+    if (this.opts.fencing && fencingNumber < this.highestFencingNumber) {
       server.json(res, 409, { error: "old fencing number" });
       return;
     }
-    this.fence = Math.max(this.fence, fence);
+    this.highestFencingNumber = Math.max(this.highestFencingNumber, fencingNumber);
     const status = path.includes("unload")
-      ? this.unload(order.lora_name)
-      : await this.load(order.lora_name, order.lora_path ?? "", life);
+      ? this.unloadAdapter(order.lora_name)
+      : await this.loadAdapter(order.lora_name, order.lora_path ?? "", startedAt);
     if (this.faults.loseReplies > 0) {
       this.faults.loseReplies--;
       res.destroy();
@@ -219,7 +227,7 @@
     server.json(res, status, {});
   }
 
-  private async load(name: string, path: string, life: number): Promise<number> {
+  private async loadAdapter(name: string, path: string, startedAt: number): Promise<number> {
     if (this.faults.refuseLoads) return 500;
     if (this.loaded.has(name) || this.loaded.size >= this.opts.slots) return 400;
     if (path.startsWith("http:")) {
@@ -227,13 +235,13 @@
       await body.dump();
       if (statusCode !== 200) return 500;
     }
-    if (life !== this.startedAt || this.loaded.size >= this.opts.slots) return 500;
+    if (startedAt !== this.startedAt || this.loaded.size >= this.opts.slots) return 500;
     this.loaded.set(name, path);
     this.journal.push({ kind: "load", name });
     return 200;
   }
 
-  private unload(name: string): number {
+  private unloadAdapter(name: string): number {
     if (!this.loaded.delete(name)) return 404;
     this.journal.push({ kind: "unload", name });
     for (const s of [...this.running, ...this.waiting]) {
@@ -242,8 +250,12 @@
     return 200;
   }
 
-  private generate(asked: Asked, req: http.IncomingMessage, res: http.ServerResponse): void {
-    const name = asked.model;
+  private generate(
+    request: CompletionRequest,
+    req: http.IncomingMessage,
+    res: http.ServerResponse,
+  ): void {
+    const name = request.model;
     if (!this.loaded.has(name)) {
       server.json(res, 404, { error: { message: `model ${name} does not exist` } });
       return;
@@ -251,84 +263,87 @@
     const id = String(req.headers["x-request-id"]);
     const wrongModel = this.faults.wrongModels > 0 && this.faults.wrongModels-- > 0;
     const wrongId = this.faults.wrongIds > 0 && this.faults.wrongIds-- > 0;
-    const breaks = this.faults.breakAnswers > 0 && this.faults.breakAnswers-- > 0;
-    const shown = { id: `cmpl-${wrongId ? "another" : id}`, model: wrongModel ? "another" : name };
-    const prompt = asked.prompt ?? asked.messages?.at(-1)?.content ?? "";
-    const tokens = asked.max_tokens ?? DEFAULT_TOKENS;
-    // What was generated by, for whom: an answer that goes astray shows by its text.
-    const word = (i: number): string => `${name.replace(/~.*/, "")}:${prompt}:${i} `;
+    const breaksOff = this.faults.breakAnswers > 0 && this.faults.breakAnswers-- > 0;
+    const responseFields = {
+      id: `cmpl-${wrongId ? "another" : id}`,
+      model: wrongModel ? "another" : name,
+    };
+    const prompt = request.prompt ?? request.messages?.at(-1)?.content ?? "";
+    const maxTokens = request.max_tokens ?? DEFAULT_MAX_TOKENS;
+    // Each token names the adapter and the prompt, so that a misdirected answer can be recognised.
+    const tokenText = (i: number): string => `${name.replace(/~.*/, "")}:${prompt}:${i} `;
     const object = "text_completion";
-    this.responses.add(res);
+    this.openResponses.add(res);
     const sequence: Sequence = {
       id,
       name,
-      priority: asked.priority ?? 0,
-      tokens,
-      done: 0,
+      priority: request.priority ?? 0,
+      maxTokens,
+      generatedTokens: 0,
       emit: (i) => {
-        if (breaks && i >= tokens / 2) {
+        if (breaksOff && i >= maxTokens / 2) {
           res.destroy();
           return;
         }
-        if (!asked.stream) return;
+        if (!request.stream) return;
         if (i === 0) res.writeHead(200, { "content-type": "text/event-stream" });
-        const chunk = { ...shown, object, choices: [{ index: 0, text: word(i) }] };
+        const chunk = { ...responseFields, object, choices: [{ index: 0, text: tokenText(i) }] };
         res.write(`data: ${JSON.stringify(chunk)}\n\n`);
       },
       end: () => {
         this.journal.push({ kind: "finish", id });
-        this.responses.delete(res);
-        if (asked.stream) {
+        this.openResponses.delete(res);
+        if (request.stream) {
           res.end("data: [DONE]\n\n");
           return;
         }
-        const text = Array.from({ length: tokens }, (_, i) => word(i)).join("");
+        const text = Array.from({ length: maxTokens }, (_, i) => tokenText(i)).join("");
         const choices = [{ index: 0, text, finish_reason: "stop" }];
-        server.json(res, 200, { ...shown, object, choices });
+        server.json(res, 200, { ...responseFields, object, choices });
       },
     };
     this.journal.push({ kind: "run", id, name, prompt });
     res.on("close", () => {
-      this.responses.delete(res);
-      const stop = (): void => {
+      this.openResponses.delete(res);
+      const removeSequence = (): void => {
         this.running = this.running.filter((s) => s !== sequence);
         this.waiting = this.waiting.filter((s) => s !== sequence);
-        this.count();
+        this.updateCounts();
       };
-      if (this.faults.slowCancelMs === 0 || res.writableFinished) stop();
-      else setTimeout(stop, this.faults.slowCancelMs);
+      if (this.faults.slowCancelMs === 0 || res.writableFinished) removeSequence();
+      else setTimeout(removeSequence, this.faults.slowCancelMs);
     });
     this.waiting.push(sequence);
     this.waiting.sort((a, b) => a.priority - b.priority);
-    this.count();
-    if (!this.stepping) this.step();
+    this.updateCounts();
+    if (!this.isStepping) this.scheduleStep();
   }
 
-  private step(): void {
-    this.stepping = true;
+  private scheduleStep(): void {
+    this.isStepping = true;
     setTimeout(() => {
-      if (!this.faults.frozen) this.advance();
-      if (this.running.length + this.waiting.length > 0) this.step();
-      else this.stepping = false;
+      if (!this.faults.frozen) this.runStep();
+      if (this.running.length + this.waiting.length > 0) this.scheduleStep();
+      else this.isStepping = false;
     }, this.opts.stepMs);
   }
 
-  private advance(): void {
-    const free = this.opts.seats - this.running.length;
-    this.running.push(...this.waiting.splice(0, free));
+  private runStep(): void {
+    const freeSeats = this.opts.seats - this.running.length;
+    this.running.push(...this.waiting.splice(0, freeSeats));
     this.fill.push(this.running.length);
     for (const s of [...this.running]) {
-      s.emit(s.done);
-      s.done++;
-      if (s.done < s.tokens) continue;
+      s.emit(s.generatedTokens);
+      s.generatedTokens++;
+      if (s.generatedTokens < s.maxTokens) continue;
       this.running = this.running.filter((o) => o !== s);
       s.end();
     }
-    this.count();
+    this.updateCounts();
   }
 }
 
-/** Starts an engine on `port`, or on a free one. */
+/** Starts an engine on `port`, or on a free port if it is 0. */
 export async function start(
   opts: Options,
   port = 0,
--- a/src/standin/hosts.ts
+++ b/src/standin/hosts.ts
@@ -1,31 +1,33 @@
 /**
- * A stand-in for the platform's list of hosts, in the shape of Kubernetes' EndpointSlice list. It
- * lags as it is told to.
+ * A stand-in for the platform's list of hosts, served as a Kubernetes EndpointSliceList. Changes
+ * can be made to appear late.
  * @module
  */
 import type * as hosts from "../store/hosts.js";
 import * as server from "./server.js";
 
+/** The list of hosts. */
 export class Hosts {
-  /** Milliseconds by which the list lags. */
+  /** Milliseconds after which a change appears in the served list. */
   lagMs = 0;
+  /** While true, every connection is closed without an answer. */
   down = false;
   private members: readonly hosts.Member[] = [];
-  private shown: readonly hosts.Member[] = [];
+  private visibleMembers: readonly hosts.Member[] = [];
   private version = 0;
 
-  /** Replaces the list; it shows after the lag. */
+  /** Replaces the list; the change appears after `lagMs`. */
   set(members: readonly hosts.Member[]): void {
     this.members = members;
-    const show = (): void => {
-      this.shown = members;
+    const publish = (): void => {
+      this.visibleMembers = members;
       this.version++;
     };
-    if (this.lagMs === 0) show();
-    else setTimeout(show, this.lagMs);
+    if (this.lagMs === 0) publish();
+    else setTimeout(publish, this.lagMs);
   }
 
-  /** Adds a member, or replaces the one of its name. */
+  /** Adds a member, or replaces the one with the same name. */
   put(member: hosts.Member): void {
     this.set([...this.members.filter((m) => m.name !== member.name), member]);
   }
@@ -50,7 +52,7 @@
       return;
     }
     res.setHeader("etag", etag);
-    server.json(res, 200, { kind: "EndpointSliceList", items: this.shown.map(toSlice) });
+    server.json(res, 200, { kind: "EndpointSliceList", items: this.visibleMembers.map(toSlice) });
   };
 }
 
@@ -63,7 +65,7 @@
   };
 }
 
-/** Starts a list on `port`, or on a free one. */
+/** Starts a list of hosts on `port`, or on a free port if it is 0. */
 export async function start(port = 0): Promise<server.Running & { readonly hosts: Hosts }> {
   const list = new Hosts();
   return { ...(await server.serve(list.handle, port)), hosts: list };
--- a/src/standin/main.ts
+++ b/src/standin/main.ts
@@ -1,6 +1,6 @@
 /**
  * Runs one stand-in as a process, for the demo: `main.js store|hosts|weights|service|engine [JSON]`.
- * It prints its address as one line of JSON when it listens.
+ * It prints its URL and address as one line of JSON once it listens.
  * @module
  */
 import * as engine from "./engine.js";
@@ -10,7 +10,7 @@
 import * as store from "./store.js";
 import * as weights from "./weights.js";
 
-interface Given {
+interface StandInOptions {
   readonly loadMs?: number;
   readonly slots?: number;
   readonly seats?: number;
@@ -18,18 +18,18 @@
   readonly baseModel?: string;
 }
 
-function start(kind: string, given: Given): Promise<server.Running> {
+function start(kind: string, options: StandInOptions): Promise<server.Running> {
   switch (kind) {
     case "store":
       return store.start();
     case "hosts":
       return hosts.start();
     case "weights":
-      return weights.start(given.loadMs ?? 0);
+      return weights.start(options.loadMs ?? 0);
     case "service":
       return service.start();
     case "engine": {
-      const { slots = 1, seats = 1, stepMs = 1, baseModel = "" } = given;
+      const { slots = 1, seats = 1, stepMs = 1, baseModel = "" } = options;
       return engine.start({ slots, seats, stepMs, baseModel, fencing: true });
     }
     default:
@@ -37,5 +37,8 @@
   }
 }
 
-const running = await start(process.argv[2] ?? "", JSON.parse(process.argv[3] ?? "{}") as Given);
+const running = await start(
+  process.argv[2] ?? "",
+  JSON.parse(process.argv[3] ?? "{}") as StandInOptions,
+);
 process.stdout.write(`${JSON.stringify({ url: running.url, address: running.address })}\n`);
--- a/src/standin/server.ts
+++ b/src/standin/server.ts
@@ -1,12 +1,12 @@
 /**
- * A small HTTP server for the stand-ins.
+ * The HTTP server that the stand-ins share.
  * @module
  */
 import * as http from "node:http";
 import type * as net from "node:net";
 import * as outcome from "../request/outcome.js";
 
-/** A stand-in that runs. */
+/** A running stand-in. */
 export interface Running {
   readonly url: string;
   /** `ip:port`. */
@@ -14,15 +14,16 @@
   readonly close: () => Promise<void>;
 }
 
+/** Answers one request, whose body has been read. */
 export type Handle = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
   body: string,
 ) => Promise<void> | void;
 
-/** Answers with JSON. */
-export function json(res: http.ServerResponse, status: number, what: unknown): void {
-  const text = JSON.stringify(what);
+/** Sends a JSON answer. */
+export function json(res: http.ServerResponse, status: number, value: unknown): void {
+  const text = JSON.stringify(value);
   const size = Buffer.byteLength(text);
   res.writeHead(status, { "content-type": "application/json", "content-length": size });
   res.end(text);
@@ -34,21 +35,21 @@
   return Buffer.concat(parts).toString();
 }
 
-/** Serves `handle` on a free port of 127.0.0.1, or on `port`. */
+/** Serves `handle` on `port` of 127.0.0.1, or on a free port if it is 0. */
 export async function serve(handle: Handle, port = 0): Promise<Running> {
   const server = http.createServer((req, res) => {
     readAll(req)
       .then((body) => handle(req, res, body))
       .catch((err: unknown) => {
         if (res.headersSent) res.destroy();
-        else json(res, 500, { error: err instanceof Error ? err.message : "broke off" });
+        else json(res, 500, { error: err instanceof Error ? err.message : "the handler failed" });
       });
   });
   await new Promise<void>((resolve) => {
     server.listen(port, "127.0.0.1", resolve);
   });
-  const at = server.address() as net.AddressInfo;
-  const address = `127.0.0.1:${at.port}`;
+  const boundAddress = server.address() as net.AddressInfo;
+  const address = `127.0.0.1:${boundAddress.port}`;
   return {
     url: `http://${address}`,
     address,
@@ -62,7 +63,12 @@
   };
 }
 
-/** Throws early when a stand-in is used in a way it does not know. */
-export function unknownCall(what: string): never {
-  throw outcome.notRun("not_found", "stand-in", "stand-in", `The stand-in knows no ${what}.`);
+/** Throws the error for a call that the stand-in does not support. */
+export function unknownCall(call: string): never {
+  throw outcome.notRun(
+    "not_found",
+    "stand-in",
+    "stand-in",
+    `The stand-in does not support ${call}.`,
+  );
 }
--- a/src/standin/service.ts
+++ b/src/standin/service.ts
@@ -1,20 +1,22 @@
 /**
- * A stand-in for a plain service. It notes every call it ran, so that a repeat shows.
+ * A stand-in for a plain service. It records every call it executed, so that tests see repeated calls.
  * @module
  */
 import * as server from "./server.js";
 
-/** One call that ran. */
+/** A call that was executed. */
 export interface Ran {
   readonly method: string;
   readonly path: string;
   readonly body: string;
 }
 
+/** A service that answers every call with what it received. */
 export class Service {
   readonly ran: Ran[] = [];
-  /** So many of the next calls run, and their replies are lost. */
+  /** Number of coming calls that are executed but whose replies are lost. */
   loseReplies = 0;
+  /** Milliseconds before each reply. */
   delayMs = 0;
 
   readonly handle: server.Handle = async (req, res, body) => {
@@ -33,7 +35,7 @@
   };
 }
 
-/** Starts a service on `port`, or on a free one. */
+/** Starts a service on `port`, or on a free port if it is 0. */
 export async function start(port = 0): Promise<server.Running & { readonly service: Service }> {
   const service = new Service();
   return { ...(await server.serve(service.handle, port)), service };
--- a/src/standin/store.ts
+++ b/src/standin/store.ts
@@ -1,18 +1,19 @@
 /**
- * A stand-in for the configuration store: the part of etcd's v3 HTTP/JSON gateway that the system
- * uses, in memory, and able to fail.
+ * A stand-in for the configuration store: an in-memory implementation of the part of etcd's v3
+ * HTTP/JSON gateway that the system uses, with injected failures.
  * @module
  */
 import type * as http from "node:http";
 import * as zod from "zod";
 import * as server from "./server.js";
 
-/** How the store misbehaves. */
+/** Failures to inject into the store. */
 export interface Faults {
-  /** Calls break off without an answer, and take no effect. */
+  /** Whether calls are cut off without an answer, and take no effect. */
   down: boolean;
+  /** Milliseconds before each call takes effect. */
   delayMs: number;
-  /** So many of the next writes take effect, and their replies are lost. */
+  /** Number of coming writes that take effect but whose replies are lost. */
   loseReplies: number;
 }
 
@@ -27,68 +28,69 @@
 const range = zod.object({ key, range_end: key.optional(), limit: num.default(0) });
 const put = zod.object({ key, value: zod.string().default(""), lease: zod.string().optional() });
 const compare = zod.object({ key, mod_revision: num });
-const simple = zod.object({
+const simpleOp = zod.object({
   request_put: put.optional(),
   request_range: range.optional(),
   request_delete_range: zod.object({ key }).optional(),
 });
-const branch = zod.object({
+const nestedTxn = zod.object({
   compare: zod.array(compare).default([]),
-  success: zod.array(simple).default([]),
-  failure: zod.array(simple).default([]),
+  success: zod.array(simpleOp).default([]),
+  failure: zod.array(simpleOp).default([]),
 });
 const txn = zod.object({
   compare: zod.array(compare).default([]),
-  success: zod.array(simple.extend({ request_txn: branch.optional() })).default([]),
-  failure: zod.array(simple).default([]),
+  success: zod.array(simpleOp.extend({ request_txn: nestedTxn.optional() })).default([]),
+  failure: zod.array(simpleOp).default([]),
 });
 const watch = zod.object({ create_request: zod.object({ key, range_end: key }) });
-type Op = zod.infer<typeof simple> & { request_txn?: zod.infer<typeof branch> | undefined };
+type Op = zod.infer<typeof simpleOp> & { request_txn?: zod.infer<typeof nestedTxn> | undefined };
 
 const MS_PER_S = 1000;
-const SWEEP_MS = 100;
+/** Milliseconds between two checks for expired leases. */
+const EXPIRY_CHECK_MS = 100;
 const b64 = (s: string): string => Buffer.from(s).toString("base64");
 
-/** The store in memory. */
+/** A configuration store in memory. */
 export class Store {
   readonly faults: Faults = { down: false, delayMs: 0, loseReplies: 0 };
-  /** Calls by path, watches included. */
+  /** The number of calls to each path, watches included. */
   readonly calls = new Map<string, number>();
   private kvs = new Map<string, Kv>();
   private revision = 1;
-  private leases = new Map<string, { ttlS: number; until: number }>();
+  private leases = new Map<string, { ttlS: number; expiresAt: number }>();
   private leaseCount = 0;
   private readonly watches = new Set<{ from: string; to: string; res: http.ServerResponse }>();
-  private readonly sweeper = setInterval(() => {
-    this.sweep();
-  }, SWEEP_MS);
+  private readonly expiryTimer = setInterval(() => {
+    this.expireLeases();
+  }, EXPIRY_CHECK_MS);
 
   stop(): void {
-    clearInterval(this.sweeper);
+    clearInterval(this.expiryTimer);
     for (const w of this.watches) w.res.destroy();
   }
 
-  /** Breaks standing watches, as an outage does. */
+  /** Closes all open watches, as an outage does. */
   cutWatches(): void {
     for (const w of this.watches) w.res.destroy();
     this.watches.clear();
   }
 
-  /** A copy of what is kept, for {@link restore}. */
+  /** A copy of all keys and values, for {@link restore}. */
   backup(): ReadonlyMap<string, Kv> {
     return new Map(this.kvs);
   }
 
-  /** Puts an older copy back, as an operator might after a loss. */
+  /** Restores an older copy, as an operator might after data loss. */
   restore(copy: ReadonlyMap<string, Kv>): void {
     this.kvs = new Map(copy);
     this.cutWatches();
   }
 
-  private sweep(): void {
+  private expireLeases(): void {
     const now = performance.now();
     for (const [id, l] of this.leases) {
-      if (l.until > now) continue;
+      if (l.expiresAt > now) continue;
       this.leases.delete(id);
       for (const [k, kv] of this.kvs) if (kv.lease === id) this.kvs.delete(k);
     }
@@ -107,7 +109,7 @@
       this.watch(watch.parse(input).create_request, res);
       return;
     }
-    const out = this.call(path, input);
+    const out = this.dispatch(path, input);
     const writes = path === "/v3/kv/txn" || path === "/v3/lease/grant";
     if (writes && this.faults.loseReplies > 0) {
       this.faults.loseReplies--;
@@ -117,7 +119,7 @@
     server.json(res, 200, out);
   };
 
-  private call(path: string, input: unknown): unknown {
+  private dispatch(path: string, input: unknown): unknown {
     switch (path) {
       case "/v3/kv/range":
         return this.range(range.parse(input));
@@ -141,48 +143,49 @@
     const keys = [...this.kvs.keys()]
       .filter((k) => (end === undefined ? k === r.key : k >= r.key && k < end))
       .sort();
-    const wanted = r.limit > 0 ? keys.slice(0, r.limit) : keys;
-    const kvs = wanted.map((k) => this.show(k));
+    const limitedKeys = r.limit > 0 ? keys.slice(0, r.limit) : keys;
+    const kvs = limitedKeys.map((k) => this.encodeKv(k));
     return { header: this.header(), kvs, count: String(keys.length) };
   }
 
-  private show(k: string) {
+  private encodeKv(k: string) {
     const kv = this.kvs.get(k);
     return { key: b64(k), value: kv?.value ?? "", mod_revision: String(kv?.rev ?? 0) };
   }
 
-  private holds(compares: readonly zod.infer<typeof compare>[]): boolean {
+  private compareSucceeds(compares: readonly zod.infer<typeof compare>[]): boolean {
     return compares.every((c) => (this.kvs.get(c.key)?.rev ?? 0) === c.mod_revision);
   }
 
   private txn(t: zod.infer<typeof txn>) {
-    const succeeded = this.holds(t.compare);
+    const succeeded = this.compareSucceeds(t.compare);
     const ops: readonly Op[] = succeeded ? t.success : t.failure;
     const rev = this.revision + 1;
-    const touched: string[] = [];
-    const responses = ops.map((op) => this.apply(op, rev, touched));
-    if (touched.length > 0) this.revision = rev;
-    this.notify(touched);
+    const changedKeys: string[] = [];
+    const responses = ops.map((op) => this.apply(op, rev, changedKeys));
+    if (changedKeys.length > 0) this.revision = rev;
+    this.notify(changedKeys);
     return { header: this.header(), succeeded, responses };
   }
 
-  private apply(op: Op, rev: number, touched: string[]): object {
+  private apply(op: Op, rev: number, changedKeys: string[]): object {
     if (op.request_put) {
       const { key: k, value, lease } = op.request_put;
       this.kvs.set(k, { value, rev, lease });
-      touched.push(k);
+      changedKeys.push(k);
       return { response_put: {} };
     }
     if (op.request_delete_range) {
-      if (this.kvs.delete(op.request_delete_range.key)) touched.push(op.request_delete_range.key);
+      if (this.kvs.delete(op.request_delete_range.key))
+        changedKeys.push(op.request_delete_range.key);
       return { response_delete_range: {} };
     }
     if (op.request_range) return { response_range: this.range(op.request_range) };
     if (op.request_txn) {
       const inner = op.request_txn;
-      const succeeded = this.holds(inner.compare);
+      const succeeded = this.compareSucceeds(inner.compare);
       const ops = succeeded ? inner.success : inner.failure;
-      const responses = ops.map((o) => this.apply(o, rev, touched));
+      const responses = ops.map((o) => this.apply(o, rev, changedKeys));
       return { response_txn: { succeeded, responses } };
     }
     return server.unknownCall("operation");
@@ -191,14 +194,14 @@
   private grant(ttlS: number) {
     this.leaseCount++;
     const id = String(this.leaseCount);
-    this.leases.set(id, { ttlS, until: performance.now() + ttlS * MS_PER_S });
+    this.leases.set(id, { ttlS, expiresAt: performance.now() + ttlS * MS_PER_S });
     return { header: this.header(), ID: id, TTL: String(ttlS) };
   }
 
   private keepAlive(id: string) {
-    this.sweep();
+    this.expireLeases();
     const lease = this.leases.get(id);
-    if (lease) lease.until = performance.now() + lease.ttlS * MS_PER_S;
+    if (lease) lease.expiresAt = performance.now() + lease.ttlS * MS_PER_S;
     return { result: { header: this.header(), ID: id, TTL: String(lease?.ttlS ?? 0) } };
   }
 
@@ -210,11 +213,11 @@
     res.write(`${JSON.stringify({ result: { header: this.header(), created: true } })}\n`);
   }
 
-  private notify(touched: readonly string[]): void {
+  private notify(changedKeys: readonly string[]): void {
     for (const w of this.watches) {
-      const events = touched
+      const events = changedKeys
         .filter((k) => k >= w.from && k < w.to && this.kvs.has(k))
-        .map((k) => ({ type: "PUT", kv: this.show(k) }));
+        .map((k) => ({ type: "PUT", kv: this.encodeKv(k) }));
       if (events.length > 0) {
         w.res.write(`${JSON.stringify({ result: { header: this.header(), events } })}\n`);
       }
@@ -222,7 +225,7 @@
   }
 }
 
-/** Starts a store on `port`, or on a free one. */
+/** Starts a store on `port`, or on a free port if it is 0. */
 export async function start(port = 0): Promise<server.Running & { readonly store: Store }> {
   const store = new Store();
   const running = await server.serve(store.handle, port);
--- a/src/standin/weights.ts
+++ b/src/standin/weights.ts
@@ -1,29 +1,32 @@
 /**
- * A stand-in for the weight store: one load at a time runs at full speed, several share it.
+ * A stand-in for the weight store: a single load runs at full speed, concurrent loads share that speed.
  * @module
  */
 import * as server from "./server.js";
 
-/** How the weight store misbehaves. */
+/** Failures to inject into the weight store. */
 export interface Faults {
-  /** Loads are refused. */
+  /** Whether loads are refused. */
   refuse: boolean;
-  /** Factor on the time of a load. */
+  /** Factor by which the time of a load is multiplied. */
   slow: number;
 }
 
+/** Milliseconds between two updates of the progress of loads. */
 const TICK_MS = 5;
 
+/** A weight store that answers each load after its time. */
 export class Weights {
   readonly faults: Faults = { refuse: false, slow: 1 };
+  /** Loads finished so far. */
   loads = 0;
-  /** Most loads that were under way together. */
+  /** The highest number of loads in progress at the same time. */
   most = 0;
-  private readonly active = new Set<{ left: number; done: () => void }>();
+  private readonly active = new Set<{ remainingMs: number; done: () => void }>();
   private ticker: NodeJS.Timeout | undefined;
-  private last = 0;
+  private lastTickAt = 0;
 
-  /** @param loadMs - milliseconds of one load that runs alone */
+  /** @param loadMs - milliseconds that a load takes when it runs alone */
   constructor(private readonly loadMs: number) {}
 
   readonly handle: server.Handle = async (_req, res) => {
@@ -32,12 +35,12 @@
       return;
     }
     await new Promise<void>((done) => {
-      this.active.add({ left: this.loadMs * this.faults.slow, done });
+      this.active.add({ remainingMs: this.loadMs * this.faults.slow, done });
       this.most = Math.max(this.most, this.active.size);
       if (!this.ticker) {
-        this.last = performance.now();
+        this.lastTickAt = performance.now();
         this.ticker = setInterval(() => {
-          this.tick();
+          this.advanceLoads();
         }, TICK_MS);
       }
     });
@@ -45,13 +48,13 @@
     server.json(res, 200, { weights: "" });
   };
 
-  private tick(): void {
+  private advanceLoads(): void {
     const now = performance.now();
-    const share = (now - this.last) / Math.max(1, this.active.size);
-    this.last = now;
+    const progressMs = (now - this.lastTickAt) / Math.max(1, this.active.size);
+    this.lastTickAt = now;
     for (const l of this.active) {
-      l.left -= share;
-      if (l.left > 0) continue;
+      l.remainingMs -= progressMs;
+      if (l.remainingMs > 0) continue;
       this.active.delete(l);
       l.done();
     }
@@ -61,7 +64,7 @@
   }
 }
 
-/** Starts a weight store on `port`, or on a free one. */
+/** Starts a weight store on `port`, or on a free port if it is 0. */
 export async function start(
   loadMs: number,
   port = 0,
--- a/test/steps/failures.ts
+++ b/test/steps/failures.ts
@@ -1,4 +1,4 @@
-/** Steps in which something fails or leaves. */
+/** Steps that inject failures, or stop and kill daemons. */
 import * as chai from "chai";
 import type * as endpoint from "../../src/endpoint/daemon.js";
 import * as site from "../../bench/site.js";
@@ -20,15 +20,15 @@
 
 const pause = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
 
-/** The number of the engine that runs something now. */
-function busy(w: world.World): number {
-  const at = w.at.endpoints.findIndex((e) => (e.gate()?.news().running ?? 0) > 0);
-  if (at < 0) throw new Error("no engine runs anything");
-  return at + 1;
+/** The number, from 1, of an engine that is running a request. */
+function busyEngineNumber(w: world.World): number {
+  const index = w.at.endpoints.findIndex((e) => (e.gate()?.news().running ?? 0) > 0);
+  if (index < 0) throw new Error("no engine runs anything");
+  return index + 1;
 }
 
-/** The number of the endpoint daemon where something waits now. */
-async function waitingAt(w: world.World): Promise<number> {
+/** Waits until a request is waiting at an endpoint daemon, and returns that daemon's number, from 1. */
+async function waitingEndpointNumber(w: world.World): Promise<number> {
   const find = (): number => w.at.endpoints.findIndex((e) => (e.gate()?.news().waiting ?? 0) > 0);
   await site.until(() => find() >= 0);
   return find() + 1;
@@ -67,7 +67,7 @@
 });
 world.step("the engine that runs it breaks its answer off half-way", (w) => {
   for (const e of w.at.engines) e.engine.faults.breakAnswers = 0;
-  engineAt(w, busy(w)).restart();
+  engineAt(w, busyEngineNumber(w)).restart();
 });
 world.step("every engine breaks its next answer off half-way", (w) => {
   for (const e of w.at.engines) e.engine.faults.breakAnswers = 1;
@@ -76,7 +76,7 @@
   for (const e of w.at.engines) e.engine.restart();
 });
 world.step("the engine that runs it restarts cold", (w) => {
-  engineAt(w, busy(w)).restart();
+  engineAt(w, busyEngineNumber(w)).restart();
 });
 world.step("every engine refuses loads", (w) => {
   for (const e of w.at.engines) e.engine.faults.refuseLoads = true;
@@ -118,13 +118,13 @@
 
 // Daemons and links.
 world.step("the endpoint daemon that runs it is killed", (w) => {
-  endpointAt(w, busy(w)).kill();
+  endpointAt(w, busyEngineNumber(w)).kill();
 });
 world.step("the endpoint daemon where it waits is killed", async (w) => {
-  endpointAt(w, await waitingAt(w)).kill();
+  endpointAt(w, await waitingEndpointNumber(w)).kill();
 });
 world.step("it waits at an endpoint daemon", async (w) => {
-  await waitingAt(w);
+  await waitingEndpointNumber(w);
 });
 world.step("entry host {int} is killed", (w, n: number) => {
   w.at.entries[n - 1]?.kill();
@@ -143,7 +143,7 @@
   w.notes.set("stopping", endpointAt(w, n).stop());
 });
 world.step("the endpoint daemon that runs it begins to stop", (w) => {
-  w.notes.set("stopping", endpointAt(w, busy(w)).stop());
+  w.notes.set("stopping", endpointAt(w, busyEngineNumber(w)).stop());
 });
 world.step("entry host {int} begins to stop", (w, n: number) => {
   w.notes.set("stopping", w.at.entries[n - 1]?.stop());
@@ -162,25 +162,25 @@
 });
 world.step("{int} ms pass", (_w, ms: number) => pause(ms));
 
-/** Asks for every adapter a few times at once. */
+/** Sends `times` concurrent requests for each adapter. */
 function askAll(w: world.World, times: number): Promise<readonly site.Answer[]> {
   const models = Array.from({ length: times }, () => site.ADAPTERS).flat();
   return Promise.all(models.map((m) => w.at.ask(m)));
 }
 
-const ranAt = (w: world.World, n: number): number =>
+const runCount = (w: world.World, n: number): number =>
   engineAt(w, n).journal.filter((e) => e.kind === "run").length;
 
 world.step("endpoint daemon {int} has had work", async (w, n: number) => {
   await askAll(w, 2);
-  expect(ranAt(w, n)).above(0);
+  expect(runCount(w, n)).above(0);
 });
 
 world.step("endpoint daemon {int} gets no work from now on", async (w, n: number) => {
-  const before = ranAt(w, n);
+  const before = runCount(w, n);
   const answers = await askAll(w, 4);
   expect(answers.map((a) => a.status)).eql(answers.map(() => 200));
-  expect(ranAt(w, n)).equal(before);
+  expect(runCount(w, n)).equal(before);
 });
 
 world.step("every engine is out", (w) => {
@@ -188,7 +188,7 @@
 });
 
 world.step("the endpoint daemon where they wait begins to stop", async (w) => {
-  w.notes.set("stopping", endpointAt(w, await waitingAt(w)).stop());
+  w.notes.set("stopping", endpointAt(w, await waitingEndpointNumber(w)).stop());
 });
 
 world.step("engine {int} goes on for {int} ms after a cancel", (w, n: number, ms: number) => {
--- a/test/steps/intent.ts
+++ b/test/steps/intent.ts
@@ -1,4 +1,4 @@
-/** Steps of operators, and of the intent in force. */
+/** Steps in which an operator changes the intent, and checks of the intent in force at the daemons. */
 import * as chai from "chai";
 import * as intents from "../../src/contract/intent.js";
 import type * as objects from "../../src/contract/objects.js";
@@ -12,7 +12,7 @@
   return site.adapter(name, w.at.weights.url, ["1", "2"], current);
 }
 
-function newest(w: world.World): intents.Intent {
+function newestIntent(w: world.World): intents.Intent {
   const all = [...w.at.entries, ...w.at.endpoints].map((d) => d.parts.feed.intent());
   return all.reduce((a, b) => (b.revision > a.revision ? b : a));
 }
@@ -31,7 +31,7 @@
 );
 
 world.step("an operator drains endpoint {int}", async (w, n: number) => {
-  const found = intents.find(newest(w), "Endpoint", `engine-${n - 1}`);
+  const found = intents.find(newestIntent(w), "Endpoint", `engine-${n - 1}`);
   if (!found) throw new Error(`there is no endpoint ${n}`);
   const labels = { ...found.metadata.labels, [intents.DRAIN_LABEL]: "true" };
   await apply(w, [{ ...found, metadata: { ...found.metadata, labels } }]);
@@ -122,13 +122,13 @@
 });
 
 world.step("the revision in force is noted", (w) => {
-  w.notes.set("revision", newest(w).revision);
+  w.notes.set("revision", newestIntent(w).revision);
 });
 
 world.step(
   "only endpoint daemon {int} hears of {word} at version {word}",
   (w, n: number, name: string, v: string) => {
-    const base = newest(w);
+    const base = newestIntent(w);
     const feed = w.at.endpoints[n - 1]?.parts.feed;
     feed?.learn({
       kind: "changes",
