--- a/src/standin/engine.ts
+++ b/src/standin/engine.ts
@@ -39,7 +39,7 @@
   slowCancelMs: number;
   /** Milliseconds that a request takes to arrive at the engine. */
   slowArrivalMs: number;
-  /** Whether the engine generates nothing. */
+  /** Whether steps are suspended, so that no request makes progress. */
   frozen: boolean;
   /** Whether the metrics omit the start time of the process, as engines of several processes do. */
   noStartTime: boolean;
