--- a/bench/caps/fleet.ts
+++ b/bench/caps/fleet.ts
@@ -3,7 +3,7 @@
  * keep it, with links between them that a play cuts, and hosts that it restarts.
  * @module
  */
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import * as tokenBalance from "../../src/serving/token-balance.js";
 import * as caps from "../../src/serving/caps.js";
 import * as catalog from "../../src/serving/catalog.js";
@@ -140,7 +140,7 @@
   }
 
   private place(): wire.Place {
-    return placeOf(new limiterOwner.LimiterOwner({ clock: this.clk, log: record.silent }));
+    return placeOf(new limiterOwner.LimiterOwner({ clock: this.clk, log: structuredLog.silent }));
   }
 
   private wire(h: number, p: number): wire.Wire {
@@ -165,7 +165,7 @@
   private host(h: number): limiter.Limiter {
     return new limiter.Limiter({
       clock: this.clk,
-      log: record.silent,
+      log: structuredLog.silent,
       totals: () => caps.totals(this.catalog.config, this.opts.overdraft),
       ownerCandidates: (_key, n) => (this.links[h] ?? []).slice(0, n),
       hostCount: () => (this.told.has(h) ? this.opts.hosts : undefined),
--- a/bench/limits/fleet.ts
+++ b/bench/limits/fleet.ts
@@ -3,7 +3,7 @@
  * it, with hosts that are killed, stopped, cut off and frozen, and requests that wait and connect before they arrive.
  * @module
  */
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import type * as catalog from "../../src/serving/catalog.js";
 import * as limiter from "../../src/serving/limiter.js";
 import * as limiterOwner from "../../src/serving/limiter-owner.js";
@@ -63,14 +63,14 @@
     const { clk } = fleet;
     this.shared = new limiter.Limiter({
       clock: clk,
-      log: record.silent,
+      log: structuredLog.silent,
       totals: () => this.notices.totals(),
       ownerCandidates: (_key, n) => this.wires.slice(0, n),
       hostCount: () => this.hosts,
     });
     this.notices = new workerNotices.WorkerNotices({
       clock: clk,
-      log: record.silent,
+      log: structuredLog.silent,
       limiter: this.shared,
       send: (_e, m) => {
         for (const w of this.wires) w.send(m);
@@ -161,7 +161,7 @@
 
   private place(): wire.Place {
     const kept = fleet.placeOf(
-      new limiterOwner.LimiterOwner({ clock: this.clk, log: record.silent }),
+      new limiterOwner.LimiterOwner({ clock: this.clk, log: structuredLog.silent }),
     );
     const told = new noticeRelay.NoticeRelay(this.clk, () => undefined);
     return {
--- a/bench/measure/run.ts
+++ b/bench/measure/run.ts
@@ -12,7 +12,7 @@
 import * as views from "../../src/entry/views.js";
 import * as log from "../../src/host/log.js";
 import * as members from "../../src/host/members.js";
-import type * as metrics from "../../src/host/metrics.js";
+import type * as statsdMetrics from "../../src/host/statsd-metrics.js";
 import type * as wire from "../../src/link/wire.js";
 import * as outcome from "../../src/request/outcome.js";
 import * as fakes from "./fakes.js";
@@ -61,7 +61,7 @@
 const REFILLED = 0.9;
 const SLOW = 4;
 const TROUBLE_MS = 60_000;
-const QUIET: metrics.Metrics = {
+const QUIET: statsdMetrics.Metrics = {
   observe: () => undefined,
   count: () => undefined,
   summaries: () => [],
--- a/deploy/bundle.ts
+++ b/deploy/bundle.ts
@@ -42,7 +42,7 @@
 
 await esbuild.build({
   entryPoints: [path.join(import.meta.dirname, "../platform/start.js")],
-  outfile: script.FILE,
+  outfile: script.BUNDLE_FILE,
   bundle: true,
   platform: "node",
   format: "cjs",
@@ -50,8 +50,8 @@
   minifyWhitespace: true,
   minifySyntax: true,
   charset: "ascii",
-  banner: { js: script.OPENING },
-  footer: { js: script.CLOSING },
+  banner: { js: script.WRAPPER_START },
+  footer: { js: script.WRAPPER_END },
   logLevel: "warning",
   plugins: [useSubsets],
 });
@@ -59,4 +59,4 @@
 const { script: compiled } = script.compile();
 await script.evaluate(compiled).load();
 // Created after loading, so that the cache includes the functions that run during a start.
-fs.writeFileSync(script.COMPILED, compiled.createCachedData());
+fs.writeFileSync(script.CODE_CACHE_FILE, compiled.createCachedData());
--- a/deploy/launch.cts
+++ b/deploy/launch.cts
@@ -9,7 +9,7 @@
 // read later in the start anyway.
 process.on("SIGHUP", () => undefined);
 
-const { script: compiled, rejected } = script.compile(fs.readFileSync(script.COMPILED));
+const { script: compiled, rejected } = script.compile(fs.readFileSync(script.CODE_CACHE_FILE));
 if (rejected) {
   process.stderr.write("sumacfield: the compiled form is of another Node or other flags\n");
 }
--- a/deploy/script.cts
+++ b/deploy/script.cts
@@ -8,7 +8,7 @@
 import * as vm from "node:vm";
 
 /** The exports of the bundle: those of `platform/start.ts`. */
-export interface Start {
+export interface BundleExports {
   readonly load: () => Promise<void>;
   readonly run: () => Promise<void>;
 }
@@ -17,12 +17,12 @@
 export const FLAGS: readonly string[] = ["--max-old-space-size=160"];
 
 /** The function wrapper around the bundled code, like the one that Node puts around CommonJS modules. */
-export const OPENING = "(function (require, module, exports) {";
-export const CLOSING = "})";
+export const WRAPPER_START = "(function (require, module, exports) {";
+export const WRAPPER_END = "})";
 
 /** Paths of the bundle and its code cache. */
-export const FILE = path.join(__dirname, "../daemon.cjs");
-export const COMPILED = path.join(__dirname, "../daemon.v8");
+export const BUNDLE_FILE = path.join(__dirname, "../daemon.cjs");
+export const CODE_CACHE_FILE = path.join(__dirname, "../daemon.v8");
 
 /**
  * Compiles the bundle, using the code cache `compiled` if given. `rejected` is true if V8 didn't accept it,
@@ -33,21 +33,21 @@
   readonly rejected: boolean;
 } {
   // The bundle is pure ASCII, so latin1 reads it correctly and without decoding UTF-8.
-  const source = fs.readFileSync(FILE, "latin1");
+  const source = fs.readFileSync(BUNDLE_FILE, "latin1");
   const script = new vm.Script(source, {
-    filename: FILE,
+    filename: BUNDLE_FILE,
     ...(compiled && { cachedData: compiled }),
   });
   return { script, rejected: script.cachedDataRejected ?? false };
 }
 
 /** Runs the compiled bundle and returns its exports. */
-export function evaluate(script: vm.Script): Start {
-  const mod = { exports: {} as Start };
+export function evaluate(script: vm.Script): BundleExports {
+  const mod = { exports: {} as BundleExports };
   const wrapper = script.runInThisContext() as (
     require: NodeJS.Require,
-    module: { exports: Start },
-    exports: Start,
+    module: { exports: BundleExports },
+    exports: BundleExports,
   ) => void;
   wrapper(require, mod, mod.exports);
   return mod.exports;
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -120,7 +120,7 @@
   ${c.help.trim().split("\n").join("\n  ")}
 
   Settings, by flag or environment variable
-${settings.help(c.settings)}
+${settings.helpText(c.settings)}
 `;
 }
 
--- a/src/contract/ring.ts
+++ b/src/contract/ring.ts
@@ -37,7 +37,7 @@
 export function build(places: readonly Place[]): Ring {
   const sortable = new Float64Array(places.length * POINTS_PER_ENDPOINT);
   for (const [owner, p] of places.entries()) {
-    const name = hash.of32(p.name);
+    const name = hash.hash32(p.name);
     for (let i = 0; i < POINTS_PER_ENDPOINT; i++) {
       sortable[owner * POINTS_PER_ENDPOINT + i] = hash.mix32(name, i + 1) * MAX_ENDPOINTS + owner;
     }
@@ -70,7 +70,7 @@
   const { points, owners, places } = ring;
   const found: Place[] = [];
   const visited = new Set<number>();
-  const start = firstPointFrom(points, hash.of32(key));
+  const start = firstPointFrom(points, hash.hash32(key));
   const wanted = Math.min(n, places.length);
   // A small ring is scanned whole, a large one only as far as the answer requires.
   const steps = Math.min(
--- a/src/endpoint/daemon.ts
+++ b/src/endpoint/daemon.ts
@@ -7,7 +7,7 @@
 import * as addresses from "../host/address.js";
 import * as clock from "../host/clock.js";
 import * as daemon from "../host/daemon.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as settings from "../host/settings.js";
 import type * as control from "../link/control.js";
 import * as controls from "../link/control.js";
@@ -217,7 +217,7 @@
         loaded: report?.loaded ?? [],
       };
     },
-    changesAfter: (revision) => parts.feed.after(revision),
+    changesAfter: (revision) => parts.feed.changesAfter(revision),
     learn: (page) => parts.feed.learn(page),
     cancel: (id, epoch) => current?.gate.cancel(id, epoch) ?? { kind: "unknown_epoch" },
     askTurn: (ask) => coordinator.ask(ask),
@@ -252,7 +252,7 @@
       stop.signal,
       () => (servesEngine() ? holder.step() : undefined),
       (err) => {
-        lg.warn(`Renewing the lease on the engine failed: ${errors.why(err)}`);
+        lg.warn(`Renewing the lease on the engine failed: ${errors.messageOf(err)}`);
       },
     ),
     pollEngine(),
@@ -268,7 +268,7 @@
       await clock.sleep(clk, cfg.engineEveryMs, stop.signal);
     }
     await holder.step().catch((err: unknown) => {
-      lg.warn(`Starting without the lease on the engine: ${errors.why(err)}`);
+      lg.warn(`Starting without the lease on the engine: ${errors.messageOf(err)}`);
     });
     await clock.every(
       clk,
@@ -276,7 +276,7 @@
       stop.signal,
       () => current?.gate.look(),
       (err) => {
-        lg.error(`Polling the engine failed unexpectedly: ${errors.why(err)}`);
+        lg.error(`Polling the engine failed unexpectedly: ${errors.messageOf(err)}`);
       },
     );
   }
@@ -291,9 +291,9 @@
       current?.gate.drain();
       await Promise.all([current?.gate.quiet(), clock.sleep(clk, cfg.drainMs)]);
       stop.abort();
-      await daemon.close(link, clk);
+      await daemon.closeServer(link, clk);
       await holder.handOver().catch((err: unknown) => {
-        lg.warn(`Handing over the engine failed: ${errors.why(err)}`);
+        lg.warn(`Handing over the engine failed: ${errors.messageOf(err)}`);
       });
       await Promise.all(tasks);
       current?.gate.stop();
--- a/src/endpoint/holdings.ts
+++ b/src/endpoint/holdings.ts
@@ -3,8 +3,8 @@
  * shares the plan's state with the gate; both change it through the functions of `plan` and `slot`.
  * @module
  */
-import * as errors from "../host/why.js";
-import * as metrics from "../host/metrics.js";
+import * as errors from "../host/errors.js";
+import * as statsdMetrics from "../host/statsd-metrics.js";
 import * as outcome from "../request/outcome.js";
 import type * as engine from "./engine.js";
 import * as plan from "./plan.js";
@@ -134,7 +134,7 @@
         this.deps.turn.end();
       }
     } catch (err) {
-      this.deps.log.error(`Loading an adapter failed unexpectedly: ${errors.why(err)}.`);
+      this.deps.log.error(`Loading an adapter failed unexpectedly: ${errors.messageOf(err)}.`);
     } finally {
       this.activeLoads--;
       this.gate.changed();
@@ -167,7 +167,7 @@
       this.move(name, { type: "loaded" });
       this.failedLoadAt.delete(target);
       this.averageLoadMs = smooth.towards(this.averageLoadMs, this.deps.clock.mono() - began);
-      this.deps.metrics.count("loads", metrics.SYSTEM);
+      this.deps.metrics.count("loads", statsdMetrics.SYSTEM_LABELS);
       this.deps.log.debug(`Loaded ${target}.`);
     } catch (err) {
       this.loadFailed(name, target, err);
@@ -188,7 +188,7 @@
     try {
       await this.deps.engine?.unload(name, this.deps.hold.fence());
       this.move(name, { type: "unloaded" });
-      this.deps.metrics.count("evictions", metrics.SYSTEM);
+      this.deps.metrics.count("evictions", statsdMetrics.SYSTEM_LABELS);
       return true;
     } catch (err) {
       const f = outcome.toFailure(err, "unload", this.opts.name, "unknown");
@@ -236,7 +236,7 @@
   private recordFailedPoll(err: unknown): void {
     this.failedPolls++;
     if (this.failedPolls !== MAX_FAILED_POLLS) return;
-    this.deps.log.warn(`The engine is out: ${errors.why(err)}`);
+    this.deps.log.warn(`The engine is out: ${errors.messageOf(err)}`);
     this.gate.lost();
     this.gate.engineOut();
   }
--- a/src/endpoint/server.ts
+++ b/src/endpoint/server.ts
@@ -4,7 +4,7 @@
  */
 import * as http from "node:http";
 import type * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as log from "../host/log.js";
 import * as body from "../link/body.js";
 import type * as keys from "../link/keys.js";
@@ -54,7 +54,7 @@
       return;
     }
     handleAttempt(opts, deps, req, res).catch((err: unknown) => {
-      deps.log.error(`Handling an attempt failed unexpectedly: ${errors.why(err)}`);
+      deps.log.error(`Handling an attempt failed unexpectedly: ${errors.messageOf(err)}`);
       res.destroy();
     });
   });
@@ -136,7 +136,7 @@
       "bad_request",
       "accept",
       peer,
-      `The attempt header is not valid: ${errors.why(err)}.`,
+      `The attempt header is not valid: ${errors.messageOf(err)}.`,
     );
   }
 }
--- a/src/endpoint/setup.ts
+++ b/src/endpoint/setup.ts
@@ -4,7 +4,7 @@
  */
 import type * as clock from "../host/clock.js";
 import type * as log from "../host/log.js";
-import type * as metrics from "../host/metrics.js";
+import type * as statsdMetrics from "../host/statsd-metrics.js";
 import type * as control from "../link/control.js";
 import type * as engine from "./engine.js";
 import type * as plan from "./plan.js";
@@ -52,7 +52,7 @@
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: log.Log;
-  readonly metrics: metrics.Metrics;
+  readonly metrics: statsdMetrics.Metrics;
   /** Undefined for a plain service. */
   readonly engine: engine.Engine | undefined;
   readonly turn: Turn;
--- a/src/endpoint/turn.ts
+++ b/src/endpoint/turn.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as log from "../host/log.js";
 import * as members from "../host/members.js";
 import type * as control from "../link/control.js";
@@ -44,7 +44,7 @@
     this.turns = turns.none(opts);
     deps.members.onChange(() => {
       const candidates = deps.members.live().filter((m) => m.role === "endpoint");
-      this.keepers = members.first(candidates, "turn", MAX_KEEPERS);
+      this.keepers = members.pickByHash(candidates, "turn", MAX_KEEPERS);
     });
   }
 
@@ -78,7 +78,7 @@
       try {
         return await peer(keeper).askTurn.mutate(a);
       } catch (err) {
-        this.deps.log.info(`Asking ${keeper.name} for a turn failed: ${errors.why(err)}`);
+        this.deps.log.info(`Asking ${keeper.name} for a turn failed: ${errors.messageOf(err)}`);
         this.silentUntil.set(
           keeper.name,
           this.deps.clock.mono() + SILENCE_WAITS * this.opts.askMaxMs,
@@ -111,7 +111,7 @@
           .endTurn.mutate({ endpoint: name })
           .catch((err: unknown) => {
             this.deps.log.debug(
-              `Telling ${keeper.name} the end of a turn failed: ${errors.why(err)}`,
+              `Telling ${keeper.name} the end of a turn failed: ${errors.messageOf(err)}`,
             );
           });
       },
--- a/src/entry/daemon.ts
+++ b/src/entry/daemon.ts
@@ -8,7 +8,7 @@
 import * as addresses from "../host/address.js";
 import * as clock from "../host/clock.js";
 import * as daemon from "../host/daemon.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as settings from "../host/settings.js";
 import * as body from "../link/body.js";
 import type * as control from "../link/control.js";
@@ -58,7 +58,7 @@
     help: "Failed polls in a row after which an endpoint counts as not responding.",
     default: "3",
   }),
-  route: settings.word("route", ROUTES, {
+  route: settings.oneOf("route", ROUTES, {
     help: "Routing policy; all but the first are for comparison.",
     default: "estimate",
   }),
@@ -241,7 +241,7 @@
       waiting: 0,
       loaded: [],
     }),
-    changesAfter: (revision) => parts.feed.after(revision),
+    changesAfter: (revision) => parts.feed.changesAfter(revision),
     learn: (page) => parts.feed.learn(page),
     cancel: () => ({ kind: "unknown_epoch" }),
     askTurn: () => ({ kind: "go" }),
@@ -276,7 +276,7 @@
       stopController.signal,
       () => endpointViews.ask(),
       (err) => {
-        lg.error(`Polling endpoints failed: ${errors.why(err)}`);
+        lg.error(`Polling endpoints failed: ${errors.messageOf(err)}`);
       },
     ),
   ];
@@ -289,10 +289,10 @@
       draining = true;
       lg.info("Draining: /readyz tells the load balancer to stop sending requests.");
       await clock.sleep(clk, cfg.drainMs);
-      await daemon.close(callerServer, clk);
+      await daemon.closeServer(callerServer, clk);
       stopController.abort();
       await Promise.all(tasks);
-      await daemon.close(linkServer, clk);
+      await daemon.closeServer(linkServer, clk);
       await dispatcher.close();
       parts.metrics.close();
       lg.info("Stopped; nothing was cut off.");
--- a/src/entry/job.ts
+++ b/src/entry/job.ts
@@ -9,7 +9,7 @@
 import type * as intents from "../contract/intent.js";
 import type * as objects from "../contract/objects.js";
 import type * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as log from "../host/log.js";
 import type * as members from "../host/members.js";
 import type * as control from "../link/control.js";
@@ -289,7 +289,9 @@
   try {
     deps.views.hear(wire.decode(wire.news, res.headers[wire.HEADER.news]));
   } catch (err) {
-    deps.log.debug(`An answer has no valid report of its endpoint's state: ${errors.why(err)}`);
+    deps.log.debug(
+      `An answer has no valid report of its endpoint's state: ${errors.messageOf(err)}`,
+    );
   }
 }
 
@@ -318,7 +320,7 @@
     const fate = await deps.peer(m).cancel.mutate({ attempt, epoch: to.epoch });
     return fate.kind === "not_run";
   } catch (err) {
-    deps.log.debug(`Cancelling a broken attempt at ${to.name} failed: ${errors.why(err)}`);
+    deps.log.debug(`Cancelling a broken attempt at ${to.name} failed: ${errors.messageOf(err)}`);
     return false;
   }
 }
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -9,9 +9,9 @@
 import type * as objects from "../contract/objects.js";
 import * as service from "../endpoint/service.js";
 import type * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as log from "../host/log.js";
-import type * as metrics from "../host/metrics.js";
+import type * as statsdMetrics from "../host/statsd-metrics.js";
 import * as body from "../link/body.js";
 import * as keys from "../link/keys.js";
 import * as pump from "../link/pump.js";
@@ -44,7 +44,7 @@
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: log.Log;
-  readonly metrics: metrics.Metrics;
+  readonly metrics: statsdMetrics.Metrics;
   readonly intent: () => intents.Intent;
   /** Whether the intent has been received. */
   readonly ready: () => boolean;
@@ -86,7 +86,7 @@
         inFlight--;
       });
       handle(opts, deps, req, res, inFlight).catch((err: unknown) => {
-        deps.log.error(`Unexpected error while handling a request: ${errors.why(err)}`);
+        deps.log.error(`Unexpected error while handling a request: ${errors.messageOf(err)}`);
         res.destroy();
       });
     },
@@ -368,7 +368,7 @@
     begun.done(true);
   } catch (err) {
     begun.done(false);
-    const message = `The answer was interrupted: ${errors.why(err)}.`;
+    const message = `The answer was interrupted: ${errors.messageOf(err)}.`;
     const code = "link_broken";
     const f: outcome.Failure = {
       code,
--- a/src/entry/views.ts
+++ b/src/entry/views.ts
@@ -8,7 +8,7 @@
 import type * as objects from "../contract/objects.js";
 import * as ring from "../contract/ring.js";
 import type * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as log from "../host/log.js";
 import type * as members from "../host/members.js";
 import * as circuit from "../link/circuit.js";
@@ -281,7 +281,7 @@
   private markSilent(name: string, err: unknown): void {
     const v = this.views.get(name);
     if (!v?.news) return;
-    this.deps.log.warn(`${name} is silent: ${errors.why(err)}`);
+    this.deps.log.warn(`${name} is silent: ${errors.messageOf(err)}`);
     this.set({ ...v, news: undefined });
     for (const abort of [...(this.inFlight.get(name) ?? [])]) abort.abort();
   }
--- a/src/host/daemon.ts
+++ b/src/host/daemon.ts
@@ -13,10 +13,10 @@
 import * as hosts from "../store/hosts.js";
 import type * as store from "../store/store.js";
 import * as clock from "./clock.js";
-import * as feed from "./feed.js";
+import * as intentFeed from "./intent-feed.js";
 import * as log from "./log.js";
 import * as members from "./members.js";
-import * as metrics from "./metrics.js";
+import * as statsdMetrics from "./statsd-metrics.js";
 import * as settings from "./settings.js";
 
 /** Settings common to all daemons. */
@@ -33,14 +33,14 @@
   clusterKeys: settings.secrets("clusterKeys", keys.KEY_LENGTH, {
     help: "Keys that authenticate daemons to each other; the first signs, all are accepted.",
   }),
-  statsdAddress: settings.optional("statsdAddress", {
+  statsdAddress: settings.optionalText("statsdAddress", {
     help: "StatsD server for metrics, as ip:port; without it metrics appear only in `status`.",
   }),
-  logLevel: settings.word("logLevel", ["debug", "info", "warn", "error"], {
+  logLevel: settings.oneOf("logLevel", ["debug", "info", "warn", "error"], {
     help: "Lowest level that is logged.",
     default: "info",
   }),
-  logFormat: settings.word("logFormat", ["text", "json"], {
+  logFormat: settings.oneOf("logFormat", ["text", "json"], {
     help: "Format of log lines.",
     default: "text",
   }),
@@ -92,11 +92,11 @@
   readonly clock: clock.Clock;
   readonly random: () => number;
   readonly logOf: (part: string) => log.Log;
-  readonly metrics: metrics.Metrics;
+  readonly metrics: statsdMetrics.Metrics;
   readonly store: store.Store;
   readonly storeCount: () => budget.Count;
   readonly members: members.Members;
-  readonly feed: feed.Feed;
+  readonly feed: intentFeed.IntentFeed;
   readonly verify: ReturnType<typeof keys.verifier>;
   readonly traffic: control.Traffic;
   readonly peer: (m: hosts.Member) => control.Peer;
@@ -115,21 +115,21 @@
 /** Creates the components; sends nothing yet. */
 export function assemble(cfg: Config, clk: clock.Clock, random: () => number): Parts {
   const logOf = log.logs(cfg.name, cfg.logLevel, cfg.logFormat);
-  const mets = metrics.open(cfg.name, cfg.statsdAddress);
+  const mets = statsdMetrics.open(cfg.name, cfg.statsdAddress);
   const meter = budget.meter(clk, cfg.storeCallsPerS, cfg.storeUrl);
   const st = etcd.open({ url: cfg.storeUrl, timeoutMs: cfg.storeTimeoutMs, spend: meter.spend });
   const hostSource = hosts.endpointSlices(cfg.hostsUrl, cfg.controlTimeoutMs);
   const mems = new members.Members(hostSource, logOf("members"));
   const traffic: control.Traffic = { bytes: 0 };
   const peer = peers(cfg, clk, traffic);
-  const fd = new feed.Feed(
+  const fd = new intentFeed.IntentFeed(
     {
       name: cfg.name,
       failureDomain: cfg.failureDomain,
       watchers: cfg.watchers,
       fanout: cfg.fanout,
-      syncMs: cfg.syncEveryMs,
-      checkMs: cfg.storeCheckMs,
+      syncIntervalMs: cfg.syncEveryMs,
+      headCheckMs: cfg.storeCheckMs,
       retryMs: cfg.storeCheckMs / 2,
     },
     { clock: clk, log: logOf("feed"), metrics: mets, store: st, members: mems, peer, random },
@@ -184,7 +184,7 @@
 }
 
 /** Closes a server gracefully: idle connections at once, the others when their responses have ended. */
-export async function close(server: http.Server, clk: clock.Clock): Promise<void> {
+export async function closeServer(server: http.Server, clk: clock.Clock): Promise<void> {
   const closed = new AbortController();
   server.close(() => {
     closed.abort();
--- a/src/host/why.ts
+++ b/src/host/errors.ts
@@ -4,6 +4,6 @@
  */
 
 /** The message of an error, for a log line. */
-export function why(err: unknown): string {
+export function messageOf(err: unknown): string {
   return err instanceof Error ? err.message : String(err);
 }
--- a/src/host/hash.ts
+++ b/src/host/hash.ts
@@ -5,7 +5,7 @@
 import * as murmurhash from "murmurhash";
 
 /** 32-bit MurmurHash3 of a text, as an unsigned integer. */
-export function of32(text: string): number {
+export function hash32(text: string): number {
   return murmurhash.default.v3(text);
 }
 
--- a/src/host/hedge.ts
+++ b/src/host/hedge.ts
@@ -11,23 +11,23 @@
 /** When and how often a call is hedged. */
 export interface Options {
   /** Milliseconds without an answer after which another call is started. */
-  readonly overdueMs: number;
+  readonly hedgeAfterMs: number;
   /** Most calls started, the first one included. */
-  readonly most: number;
+  readonly maxCalls: number;
 }
 
 /** What a hedged call depends on. */
 export interface Deps {
   readonly clock: clock.Clock;
   /** Called when a call is overdue, just before another one is started. */
-  readonly overdue: () => void;
+  readonly onOverdue: () => void;
 }
 
 /**
  * Resolves with the first answer of the calls that `call` starts, and aborts the signal given to the others.
  * Rejects, with the error of the last one to fail, when all calls started so far have failed.
  */
-export function first<T>(
+export function firstAnswer<T>(
   call: (signal: AbortSignal) => Promise<T>,
   opts: Options,
   deps: Deps,
@@ -55,10 +55,10 @@
           reject(err instanceof Error ? err : new Error(String(err)));
         },
       );
-      if (startedCalls < opts.most) timer = deps.clock.after(opts.overdueMs, startHedge);
+      if (startedCalls < opts.maxCalls) timer = deps.clock.after(opts.hedgeAfterMs, startHedge);
     };
     const startHedge = (): void => {
-      deps.overdue();
+      deps.onOverdue();
       startCall();
     };
     startCall();
--- a/src/host/feed.ts
+++ b/src/host/intent-feed.ts
@@ -11,10 +11,10 @@
 import * as journal from "../store/journal.js";
 import type * as store from "../store/store.js";
 import * as clock from "./clock.js";
-import * as errors from "./why.js";
+import * as errors from "./errors.js";
 import * as log from "./log.js";
 import * as members from "./members.js";
-import * as metrics from "./metrics.js";
+import * as statsdMetrics from "./statsd-metrics.js";
 
 /** Settings of a feed. */
 export interface Options {
@@ -25,9 +25,9 @@
   /** Number of peers that a daemon forwards a new change to. */
   readonly fanout: number;
   /** Milliseconds between requests for newer changes, each to one random peer. */
-  readonly syncMs: number;
+  readonly syncIntervalMs: number;
   /** Milliseconds between reads of the store's head by a daemon that watches it. */
-  readonly checkMs: number;
+  readonly headCheckMs: number;
   /** Milliseconds before the next attempt after the store failed; doubles with each failure, up to 8 times this. */
   readonly retryMs: number;
 }
@@ -36,7 +36,7 @@
 export interface Deps {
   readonly clock: clock.Clock;
   readonly log: log.Log;
-  readonly metrics: metrics.Metrics;
+  readonly metrics: statsdMetrics.Metrics;
   readonly store: store.Store;
   readonly members: members.Members;
   readonly peer: (m: hosts.Member) => control.Peer;
@@ -63,7 +63,7 @@
   });
 
 /** The intent that is in force on this daemon, and how it is kept up to date. */
-export class Feed {
+export class IntentFeed {
   private current: intent.Intent = intent.EMPTY;
   private recentChanges: readonly intent.Changeset[] = [];
   private readonly sourceActor = xstate.createActor(sourceMachine);
@@ -99,7 +99,7 @@
   }
 
   /** What a peer at `revision` is missing: recent changes, or all objects if it lags too far behind. */
-  after(revision: number): control.Page {
+  changesAfter(revision: number): control.Page {
     if (revision >= this.current.revision) return { kind: "changes", changes: [] };
     const oldest = this.recentChanges[0]?.revision ?? Infinity;
     if (oldest <= revision + 1) {
@@ -144,7 +144,7 @@
     try {
       this.putInForce(newChanges.reduce(intent.step, this.current), newChanges);
     } catch (err) {
-      this.deps.log.error(`News of the intent was refused: ${errors.why(err)}.`);
+      this.deps.log.error(`News of the intent was refused: ${errors.messageOf(err)}.`);
     }
   }
 
@@ -156,7 +156,7 @@
     this.deps.log.info(`Revision ${next.revision} is in force.`);
     const nowMs = this.deps.clock.now().getTime();
     for (const c of changes) {
-      this.deps.metrics.observe("in_force", nowMs - Date.parse(c.at), metrics.SYSTEM);
+      this.deps.metrics.observe("in_force", nowMs - Date.parse(c.at), statsdMetrics.SYSTEM_LABELS);
     }
     for (const listener of this.listeners) listener(next);
     if (changes.length > 0) this.notifyPeers(previousRevision);
@@ -166,9 +166,9 @@
     for (const m of members.sample(this.livePeers(), this.opts.fanout, this.deps.random)) {
       this.deps
         .peer(m)
-        .learn.mutate(this.after(sinceRevision))
+        .learn.mutate(this.changesAfter(sinceRevision))
         .catch((err: unknown) => {
-          this.deps.log.debug(`${m.name} did not receive the change: ${errors.why(err)}`);
+          this.deps.log.debug(`${m.name} did not receive the change: ${errors.messageOf(err)}`);
         });
     }
   }
@@ -184,7 +184,7 @@
     try {
       this.learn(await this.deps.peer(m).changesAfter.query({ revision: this.current.revision }));
     } catch (err) {
-      this.deps.log.debug(`${m.name} did not answer: ${errors.why(err)}`);
+      this.deps.log.debug(`${m.name} did not answer: ${errors.messageOf(err)}`);
     }
   }
 
@@ -236,14 +236,14 @@
       .filter((m) => m.failureDomain === this.opts.failureDomain);
     const { name, watchers } = this.opts;
     if (!sameDomain.some((m) => m.name === name)) return sameDomain.length < watchers;
-    return members.first(sameDomain, "watch", watchers).some((m) => m.name === name);
+    return members.pickByHash(sameDomain, "watch", watchers).some((m) => m.name === name);
   }
 
   /** Follows the store and peers until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const sync = clock.every(
       this.deps.clock,
-      this.opts.syncMs,
+      this.opts.syncIntervalMs,
       signal,
       () => this.sync(),
       () => undefined,
@@ -265,7 +265,7 @@
         }
       } catch (err) {
         this.sourceActor.send({ type: "cut" });
-        this.deps.log.warn(`The store is out: ${errors.why(err)}`);
+        this.deps.log.warn(`The store is out: ${errors.messageOf(err)}`);
         waitMs = Math.min(waitMs * 2, this.opts.retryMs * MAX_BACKOFF_FACTOR);
       }
       const jitter = 0.5 + this.deps.random();
@@ -299,7 +299,7 @@
     });
     const headChecks = clock.every(
       this.deps.clock,
-      this.opts.checkMs,
+      this.opts.headCheckMs,
       stop.signal,
       readHead,
       () => undefined,
--- a/src/host/sink.ts
+++ b/src/host/line-sink.ts
@@ -15,14 +15,14 @@
 export type Write = (text: string, done: (err: Error | null) => void) => void;
 
 /** Writes to the file descriptor `fd`. */
-export function toDescriptor(fd: number): Write {
+export function descriptorWriter(fd: number): Write {
   return (text, done) => {
     fs.write(fd, text, null, "utf8", done);
   };
 }
 
 /** A non-blocking writer of lines with a bounded buffer. */
-export class Sink {
+export class LineSink {
   private buffered: string[] = [];
   private bufferedLength = 0;
   private unreportedDrops = 0;
@@ -37,7 +37,7 @@
   ) {}
 
   /** Queues a line, given without its line break; drops it when the buffer is full. */
-  line(text: string): void {
+  writeLine(text: string): void {
     if (this.bufferedLength + text.length > MAX_BUFFERED_LENGTH) {
       this.unreportedDrops++;
       this.totalDrops++;
@@ -51,7 +51,7 @@
   }
 
   /** Number of lines dropped since the start because the buffer was full. */
-  lost(): number {
+  droppedLines(): number {
     return this.totalDrops;
   }
 
--- a/src/host/members.ts
+++ b/src/host/members.ts
@@ -5,7 +5,7 @@
 import * as clock from "./clock.js";
 import type * as hosts from "../store/hosts.js";
 import * as hash from "./hash.js";
-import * as errors from "./why.js";
+import * as errors from "./errors.js";
 import * as log from "./log.js";
 
 /** The list as last read; it is kept while the platform is unavailable. */
@@ -29,7 +29,7 @@
       this.members = list;
       for (const listener of this.listeners) listener();
     } catch (err) {
-      if (!this.isUnavailable) this.lg.warn(errors.why(err));
+      if (!this.isUnavailable) this.lg.warn(errors.messageOf(err));
       this.isUnavailable = true;
     }
   }
@@ -66,13 +66,13 @@
  * Picks `n` members by rendezvous hashing on `salt`: daemons that read the same list pick the same
  * members, and when one is removed, only its own place goes to another.
  */
-export function first(
+export function pickByHash(
   members: readonly hosts.Member[],
   salt: string,
   n: number,
 ): readonly hosts.Member[] {
   return members
-    .map((m) => ({ m, rank: hash.of32(`${salt}/${m.name}`) }))
+    .map((m) => ({ m, rank: hash.hash32(`${salt}/${m.name}`) }))
     .sort((a, b) => a.rank - b.rank || (a.m.name < b.m.name ? -1 : 1))
     .slice(0, n)
     .map(({ m }) => m);
--- a/src/host/settings.ts
+++ b/src/host/settings.ts
@@ -53,7 +53,7 @@
 }
 
 /** Text that may be left out. */
-export function optional(name: string, base: Base): Setting<string | undefined> {
+export function optionalText(name: string, base: Base): Setting<string | undefined> {
   return make(name, "text", zod.string().min(1).optional(), base);
 }
 
@@ -76,7 +76,7 @@
 }
 
 /** One of the words in `words`. */
-export function word<const W extends readonly [string, ...string[]]>(
+export function oneOf<const W extends readonly [string, ...string[]]>(
   name: string,
   words: W,
   base: Base,
@@ -120,23 +120,23 @@
 }
 
 function settingError(s: Setting<unknown>, raw: string | undefined): SettingError {
-  const label = `--${kebab(s.name)} (${s.env})`;
+  const label = `--${kebabCase(s.name)} (${s.env})`;
   if (raw === undefined) return new SettingError(`${label} is missing: expected ${s.form}.`);
   const value = s.secret ? "the value given" : `"${raw}"`;
   return new SettingError(`${label}: ${value} is not ${s.form}.`);
 }
 
 /** Converts camel case to kebab case: `linkAddress` to `link-address`. */
-export function kebab(name: string): string {
+export function kebabCase(name: string): string {
   return name.replaceAll(/[A-Z]/g, (c) => `-${c.toLowerCase()}`);
 }
 
 /** The lines of a table in `--help`. */
-export function help(table: Table): string {
+export function helpText(table: Table): string {
   return Object.values(table)
     .map((s) => {
       const defaultText = s.default === undefined ? "" : ` Default: ${s.default}.`;
-      return `    --${kebab(s.name)}, ${s.env}\n        ${s.help} Form: ${s.form}.${defaultText}`;
+      return `    --${kebabCase(s.name)}, ${s.env}\n        ${s.help} Form: ${s.form}.${defaultText}`;
     })
     .join("\n");
 }
--- a/src/host/metrics.ts
+++ b/src/host/statsd-metrics.ts
@@ -40,7 +40,7 @@
 const MAX_LABEL_SETS = 200;
 const OTHER_LABELS: Labels = { caller: "other", class: "other" };
 /** Labels of values that belong to no caller. */
-export const SYSTEM: Labels = { caller: "system", class: "system" };
+export const SYSTEM_LABELS: Labels = { caller: "system", class: "system" };
 /** Highest value a histogram records, in ms (one hour); higher ones are recorded as this. */
 const MAX_VALUE = 3_600_000;
 
--- a/src/host/record.ts
+++ b/src/host/structured-log.ts
@@ -5,7 +5,7 @@
  */
 import * as consola from "consola/core";
 import type * as clock from "./clock.js";
-import type * as sink from "./sink.js";
+import type * as lineSink from "./line-sink.js";
 
 /** The fields of a line besides its sentence. */
 export type Fields = Readonly<
@@ -29,10 +29,10 @@
 }
 
 /** Makes the logger of the part with this name. */
-export type Open = (part: string) => Log;
+export type LogFactory = (part: string) => Log;
 
 /** Makes loggers for the parts of one daemon, all writing to the same sink. */
-export function open(daemon: string, clk: clock.Clock, output: sink.Sink): Open {
+export function open(daemon: string, clk: clock.Clock, output: lineSink.LineSink): LogFactory {
   const root = consola.createConsola({
     level: 3,
     throttle: 0,
@@ -47,7 +47,7 @@
             part: o.tag,
             msg: sentence,
           };
-          output.line(JSON.stringify({ ...line, ...fields }));
+          output.writeLine(JSON.stringify({ ...line, ...fields }));
         },
       },
     ],
--- a/src/request/claims.ts
+++ b/src/request/claims.ts
@@ -7,7 +7,7 @@
 import * as zod from "zod";
 import * as clock from "../host/clock.js";
 import type * as log from "../host/log.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as keys from "../link/keys.js";
 import * as journal from "../store/journal.js";
 import type * as store from "../store/store.js";
@@ -119,7 +119,7 @@
     try {
       return await this.createOnce(batch);
     } catch (err) {
-      this.deps.log.debug(`Retrying to create claims: ${errors.why(err)}`);
+      this.deps.log.debug(`Retrying to create claims: ${errors.messageOf(err)}`);
       return this.createOnce(batch);
     }
   }
@@ -158,7 +158,7 @@
         await this.deps.store.commit({ compares, puts: [], deletes: [claim.key] });
         return;
       } catch (err) {
-        this.deps.log.debug(`Could not release a claim yet: ${errors.why(err)}`);
+        this.deps.log.debug(`Could not release a claim yet: ${errors.messageOf(err)}`);
         await clock.sleep(this.deps.clock, RETRY_DELAY_MS * 2 ** i);
       }
     }
@@ -180,7 +180,7 @@
     "claim_unproved",
     "claim",
     "store",
-    `Cannot verify now that this request has not run before: ${errors.why(err)}`,
+    `Cannot verify now that this request has not run before: ${errors.messageOf(err)}`,
     RETRY_DELAY_MS,
   );
 }
--- a/src/serving/caller-server.ts
+++ b/src/serving/caller-server.ts
@@ -5,7 +5,7 @@
  */
 import type * as http from "node:http";
 import * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as bodies from "../link/body.js";
 import * as outcome from "../request/outcome.js";
 import type * as authentication from "./authentication.js";
@@ -23,7 +23,7 @@
 /** What a {@link CallerServer} needs. */
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly protocol: protocol.Protocol;
   readonly catalog: () => catalog.Catalog;
   readonly dispatcher: dispatch.Dispatcher;
--- a/src/serving/daemon-base.ts
+++ b/src/serving/daemon-base.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import type * as source from "../store/source.js";
 import type * as catalog from "./catalog.js";
 import * as feed from "./feed.js";
@@ -11,7 +11,7 @@
 /** What every daemon needs. */
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Open;
+  readonly log: structuredLog.LogFactory;
   readonly source: source.Source;
   readonly decoder: feed.Decoder;
   /** `ip:port` at which the metrics are served. */
--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -3,7 +3,7 @@
  * endpoint only when a retry is allowed and safe.
  * @module
  */
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as clock from "../host/clock.js";
 import type * as admission from "./admission.js";
 import type * as callerRequest from "./caller-request.js";
@@ -28,7 +28,7 @@
 }
 
 export interface Deps extends seatFinder.Deps {
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly metrics: metrics.Metrics;
   readonly upstream: upstream.Upstream;
   /** Milliseconds since the catalog was last known to be up to date with the store. */
--- a/src/serving/endpoint-daemon.ts
+++ b/src/serving/endpoint-daemon.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
-import type * as record from "../host/record.js";
+import * as errors from "../host/errors.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as seatServer from "./seat-server.js";
 import type * as engine from "./engine.js";
 import * as feed from "./feed.js";
@@ -101,7 +101,7 @@
   opts: Options,
   deps: Deps,
   fed: feed.Feed,
-  lg: record.Log,
+  lg: structuredLog.Log,
 ): Promise<boolean> {
   const perS = fed.catalog.config?.services.get(opts.service)?.engine?.loadsPerS ?? 1;
   const turnsPerS = Math.max(1, Math.floor(perS));
@@ -112,7 +112,7 @@
       if (await deps.source.claim(key, TURN_LEASE_MS)) return true;
     }
   } catch (err) {
-    lg.warn("Could not claim a turn to load a base model.", { why: errors.why(err) });
+    lg.warn("Could not claim a turn to load a base model.", { why: errors.messageOf(err) });
   }
   await clock.sleep(deps.clock, TURN_RETRY_MS * (1 + deps.random()));
   return false;
--- a/src/serving/endpoint-registry.ts
+++ b/src/serving/endpoint-registry.ts
@@ -339,7 +339,7 @@
   /** Sends a message to a few of the connected endpoint daemons, for the same key to the same ones. */
   relay(key: string, m: suspicionState.Message): void {
     const connected = [...this.links.values()].filter((l) => l.isConnected);
-    const ordered = connected.map((l) => ({ l, score: hash.of32(`${key} ${l.address}`) }));
+    const ordered = connected.map((l) => ({ l, score: hash.hash32(`${key} ${l.address}`) }));
     ordered.sort((a, b) => a.score - b.score);
     for (const { l } of ordered.slice(0, RELAY_TARGETS)) l.send(m);
   }
--- a/src/serving/engine-manager.ts
+++ b/src/serving/engine-manager.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as waker from "../host/waker.js";
 import * as announcer from "./announcer.js";
 import * as backlog from "./backlog.js";
@@ -29,7 +29,7 @@
 
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly engine: engine.Engine;
   /** Returns the configuration as currently known to this host. */
   readonly catalog: () => catalog.Catalog;
--- a/src/serving/feed.ts
+++ b/src/serving/feed.ts
@@ -5,8 +5,8 @@
  */
 import * as clock from "../host/clock.js";
 import * as hedge from "../host/hedge.js";
-import * as errors from "../host/why.js";
-import type * as record from "../host/record.js";
+import * as errors from "../host/errors.js";
+import type * as structuredLog from "../host/structured-log.js";
 import type * as source from "../store/source.js";
 import * as catalog from "./catalog.js";
 import * as incarnation from "./incarnation.js";
@@ -103,7 +103,7 @@
 /** What a {@link Feed} needs. */
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly source: source.Source;
   readonly decoder: Decoder;
   readonly pace: WatchPace;
@@ -196,7 +196,7 @@
     this.deps.log.warn("The store does not answer.", {
       revision: this.current.revision,
       newsMs: Math.round(this.catalogAgeMs),
-      why: errors.why(err),
+      why: errors.messageOf(err),
     });
   }
 
@@ -215,7 +215,11 @@
       });
     };
     const { clock } = this.deps;
-    return hedge.first(call, { overdueMs, most: MAX_CALLS }, { clock, overdue });
+    return hedge.firstAnswer(
+      call,
+      { hedgeAfterMs: overdueMs, maxCalls: MAX_CALLS },
+      { clock, onOverdue: overdue },
+    );
   }
 
   /** Whether entries may be missing only because they expired in an outage of the store. */
@@ -308,7 +312,7 @@
       this.unreadableTexts.delete(key);
       return update;
     } catch (err) {
-      this.reportUnreadable(key, text, errors.why(err));
+      this.reportUnreadable(key, text, errors.messageOf(err));
       return this.deps.decoder.deleted(key);
     }
   }
--- a/src/serving/limiter-owner.ts
+++ b/src/serving/limiter-owner.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as tokenBalance from "./token-balance.js";
 import type * as announcer from "./announcer.js";
 import * as messages from "./limiter-messages.js";
@@ -34,7 +34,7 @@
 
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
 }
 
 /** The totals that one endpoint daemon owns. */
--- a/src/serving/limiter.ts
+++ b/src/serving/limiter.ts
@@ -10,7 +10,7 @@
  */
 import type * as clock from "../host/clock.js";
 import * as hash from "../host/hash.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as tokenBalance from "./token-balance.js";
 import type * as link from "./link.js";
 import * as messages from "./limiter-messages.js";
@@ -46,7 +46,7 @@
 
 /** The key by which the endpoint daemons that may own a total are ordered. */
 export function ownerKey(key: string): string {
-  return `totals/${hash.of32(key) % OWNER_GROUPS}`;
+  return `totals/${hash.hash32(key) % OWNER_GROUPS}`;
 }
 
 /** The key of the total for a worker's rate limit, from the id of the worker's incarnation. */
@@ -79,7 +79,7 @@
 
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   /** The current totals. */
   readonly totals: () => readonly messages.Total[];
   /** Connections to the first `n` endpoint daemons in the order for a key. */
--- a/src/serving/link.ts
+++ b/src/serving/link.ts
@@ -5,7 +5,7 @@
 import * as net from "node:net";
 import * as addresses from "../host/address.js";
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as catalog from "./catalog.js";
 import type * as tokenBalance from "./token-balance.js";
 import type * as choice from "./choice.js";
@@ -68,7 +68,7 @@
 /** What a connection needs, and the callbacks that it calls. */
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   /** Name of this host. */
   readonly host: string;
   /** Called when the endpoint daemon reports that an incarnation of the engine no longer exists. */
--- a/src/serving/match.ts
+++ b/src/serving/match.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type * as http from "node:http";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import * as keys from "../link/keys.js";
 import type * as callerRequest from "./caller-request.js";
 import * as authentication from "./authentication.js";
@@ -88,7 +88,7 @@
   try {
     meta = ctx.protocol.read(req.headers);
   } catch (err) {
-    return { ...refused(400, errors.why(err)), digest };
+    return { ...refused(400, errors.messageOf(err)), digest };
   }
   const matched = { kind: "matched", config, route, service, meta } as const;
   if (verdict.kind === "open" || presented.kind !== "key") return matched;
--- a/src/serving/metrics.ts
+++ b/src/serving/metrics.ts
@@ -6,8 +6,8 @@
 import type * as net from "node:net";
 import * as prom from "prom-client";
 import * as addresses from "../host/address.js";
-import * as errors from "../host/why.js";
-import type * as record from "../host/record.js";
+import * as errors from "../host/errors.js";
+import type * as structuredLog from "../host/structured-log.js";
 
 /** Upper bounds of the histogram buckets, in ms; they lie around the latency targets of 150 to 1,000 ms. */
 const BUCKETS_MS = [10, 25, 50, 100, 150, 250, 400, 600, 1000, 1500, 2500, 5000, 10_000];
@@ -160,12 +160,16 @@
 }
 
 /** Serves the metrics like {@link serve}. Logs a failure instead of throwing, as the daemon can work without metrics. */
-export async function tryServe(meters: Metrics, address: string, lg: record.Log): Promise<void> {
+export async function tryServe(
+  meters: Metrics,
+  address: string,
+  lg: structuredLog.Log,
+): Promise<void> {
   try {
     const server = await serve(meters, address);
     const { port } = server.address() as net.AddressInfo;
     lg.info("The metrics are served.", { port });
   } catch (err) {
-    lg.error("The metrics cannot be served.", { address, why: errors.why(err) });
+    lg.error("The metrics cannot be served.", { address, why: errors.messageOf(err) });
   }
 }
--- a/src/serving/order-sender.ts
+++ b/src/serving/order-sender.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import type * as engine from "./engine.js";
 
 /** The change of an engine's models or adapters that an order asks for. */
@@ -40,7 +40,7 @@
 
   constructor(
     private readonly clk: clock.Clock,
-    private readonly log: record.Log,
+    private readonly log: structuredLog.Log,
     private readonly engine: engine.Engine,
   ) {}
 
--- a/src/serving/probe.ts
+++ b/src/serving/probe.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import type * as availability from "./availability.js";
 import * as engine from "./engine.js";
 import * as polling from "./polling.js";
@@ -95,6 +95,6 @@
     }
     this.misses++;
     const isOut = this.misses % REPORT_OUT_EVERY === MISSES_UNTIL_OUT;
-    return { kind: "missed", why: errors.why(err), isOut };
+    return { kind: "missed", why: errors.messageOf(err), isOut };
   }
 }
--- a/src/serving/seat-server.ts
+++ b/src/serving/seat-server.ts
@@ -5,7 +5,7 @@
  */
 import * as net from "node:net";
 import * as addresses from "../host/address.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import type * as announcer from "./announcer.js";
 import type * as engineManager from "./engine-manager.js";
 import type * as limiterOwner from "./limiter-owner.js";
@@ -15,7 +15,7 @@
 import * as seatMessages from "./seat-messages.js";
 
 export interface Deps {
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly engineManager: engineManager.EngineManager;
   readonly relay: suspicionRelay.SuspicionRelay;
   readonly limiter: limiterOwner.LimiterOwner;
--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -3,7 +3,7 @@
  * seat or a connection since the choice, and the endpoint, the key or the quarantine may have changed in the meantime.
  * @module
  */
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import type * as callerRequest from "./caller-request.js";
 import type * as authentication from "./authentication.js";
 import * as catalog from "./catalog.js";
@@ -16,7 +16,7 @@
 import type * as workerNotices from "./worker-notices.js";
 
 export interface Deps {
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly catalog: () => catalog.Catalog;
   readonly metrics: metrics.Metrics;
   readonly endpoints: Pick<endpointRegistry.EndpointRegistry, "mostHosts">;
--- a/src/serving/send-watchdog.ts
+++ b/src/serving/send-watchdog.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import type * as callerRequest from "./caller-request.js";
 import * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
@@ -36,7 +36,7 @@
   /** Whether the request may be sent again after this send; if so, a retry is charged to the budget. */
   readonly mayGoOn: () => boolean;
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly endpoints: endpointRegistry.EndpointRegistry;
   readonly upstream: upstream.Upstream;
 }
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -3,8 +3,8 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
-import * as errors from "../host/why.js";
+import type * as structuredLog from "../host/structured-log.js";
+import * as errors from "../host/errors.js";
 import type * as callerRequest from "./caller-request.js";
 import * as catalog from "./catalog.js";
 import type * as choice from "./choice.js";
@@ -26,7 +26,7 @@
 
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly metrics: metrics.Metrics;
   readonly endpoints: endpointRegistry.EndpointRegistry;
   readonly upstream: upstream.Upstream;
@@ -276,7 +276,7 @@
     try {
       body = await exchange.readAll(result.body, MAX_ANSWER_BYTES);
     } catch (err) {
-      return this.handleLostConnection(send, errors.why(err));
+      return this.handleLostConnection(send, errors.messageOf(err));
     }
     if (p.hasResponseBegun)
       return this.handleBroken(send, `status ${result.status} instead of the rest of a stream`);
@@ -319,7 +319,7 @@
         return res.write(ready.length === 1 && ready[0] ? ready[0] : Buffer.concat(ready));
       });
     } catch (err) {
-      return this.handleLostConnection(send, errors.why(err));
+      return this.handleLostConnection(send, errors.messageOf(err));
     }
     if (!p.hasResponseBegun) res.writeHead(result.status, result.headers);
     if (splitter.remainder().length > 0) void res.write(splitter.remainder());
--- a/src/serving/suspects.ts
+++ b/src/serving/suspects.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import * as clock from "../host/clock.js";
-import * as errors from "../host/why.js";
-import type * as record from "../host/record.js";
+import * as errors from "../host/errors.js";
+import type * as structuredLog from "../host/structured-log.js";
 import type * as callerRequest from "./caller-request.js";
 import type * as crashCheck from "./crash-check.js";
 import * as catalog from "./catalog.js";
@@ -17,7 +17,7 @@
 
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly catalog: () => catalog.Catalog;
   readonly crashCheck: crashCheck.CrashCheck;
   /**
@@ -115,7 +115,7 @@
       } catch (err) {
         this.deps.log.warn("Could not write a quarantined request to the store.", {
           identity: id,
-          why: errors.why(err),
+          why: errors.messageOf(err),
         });
         await clock.sleep(this.deps.clock, RETRY_MS);
       }
--- a/src/serving/suspicion-state.ts
+++ b/src/serving/suspicion-state.ts
@@ -6,8 +6,8 @@
  */
 import * as zod from "zod";
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
-import * as errors from "../host/why.js";
+import type * as structuredLog from "../host/structured-log.js";
+import * as errors from "../host/errors.js";
 import * as identities from "./identity.js";
 import * as suspicion from "./suspicion.js";
 
@@ -52,7 +52,7 @@
 
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
 }
 
 /** The crash records of one daemon, updated by messages. */
@@ -106,7 +106,7 @@
     this.deps.log.error("A suspicion message cannot be parsed.", {
       peer,
       count: this.unreadable,
-      why: errors.why(read.error).slice(0, MAX_REASON_LENGTH),
+      why: errors.messageOf(read.error).slice(0, MAX_REASON_LENGTH),
     });
     return [];
   }
--- a/src/serving/upstream.ts
+++ b/src/serving/upstream.ts
@@ -4,7 +4,7 @@
  */
 import type * as net from "node:net";
 import * as undici from "undici";
-import * as errors from "../host/why.js";
+import * as errors from "../host/errors.js";
 import type * as callerRequest from "./caller-request.js";
 import type * as catalog from "./catalog.js";
 import * as exchange from "./exchange.js";
@@ -145,7 +145,7 @@
       head = await transfer.head;
     } catch (err) {
       if (err instanceof exchange.WithheldError) return { kind: "withheld" };
-      return { kind: transfer.isStarted ? "unknown" : "unsent", why: errors.why(err) };
+      return { kind: transfer.isStarted ? "unknown" : "unsent", why: errors.messageOf(err) };
     }
     return this.classify(req, head, transfer);
   }
--- a/src/serving/worker-notices.ts
+++ b/src/serving/worker-notices.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import type * as clock from "../host/clock.js";
-import type * as record from "../host/record.js";
+import type * as structuredLog from "../host/structured-log.js";
 import * as admission from "./admission.js";
 import type * as catalog from "./catalog.js";
 import * as limiter from "./limiter.js";
@@ -44,7 +44,7 @@
 
 export interface Deps {
   readonly clock: clock.Clock;
-  readonly log: record.Log;
+  readonly log: structuredLog.Log;
   readonly limiter: limiter.Limiter;
   /** Sends a worker's announcements to the other entry daemons. */
   readonly send: (e: catalog.Endpoint, m: noticeMessages.Notice) => void;
--- a/test/hedge.test.ts
+++ b/test/hedge.test.ts
@@ -15,7 +15,7 @@
   const clk = new time.Time();
   const calls: PendingCall[] = [];
   let overdue = 0;
-  const first = hedge.first(
+  const first = hedge.firstAnswer(
     (signal) =>
       new Promise<string>((resolve, reject) => {
         calls.push({
@@ -26,8 +26,8 @@
           },
         });
       }),
-    { overdueMs: 100, most },
-    { clock: clk, overdue: () => overdue++ },
+    { hedgeAfterMs: 100, maxCalls: most },
+    { clock: clk, onOverdue: () => overdue++ },
   );
   return { clk, calls, first, overdue: () => overdue };
 }
--- a/test/platform/callers.test.ts
+++ b/test/platform/callers.test.ts
@@ -5,7 +5,7 @@
 import * as documents from "../../platform/documents.js";
 import * as wire from "../../platform/wire.js";
 import * as clock from "../../src/host/clock.js";
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import * as authentication from "../../src/serving/authentication.js";
 import * as caps from "../../src/serving/caps.js";
 import * as catalog from "../../src/serving/catalog.js";
@@ -62,7 +62,7 @@
 }
 
 function withConfig(from: catalog.Catalog, version: number, tenants: unknown): catalog.Catalog {
-  const step = documents.stepOf("op/config", JSON.stringify(config(version, tenants)));
+  const step = documents.updateOf("op/config", JSON.stringify(config(version, tenants)));
   return step ? catalog.applyUpdate(from, step) : from;
 }
 
@@ -95,7 +95,7 @@
   );
   const sharedLimiter = new limiter.Limiter({
     clock: clock.system,
-    log: record.silent,
+    log: structuredLog.silent,
     totals: () => caps.totals(current.config, 0),
     ownerCandidates: () => [],
     hostCount: () => 1,
@@ -104,7 +104,7 @@
   const listener = await earlyListener.open("127.0.0.1:0");
   const callers = new callerServer.CallerServer(listener, {
     clock: clock.system,
-    log: record.silent,
+    log: structuredLog.silent,
     protocol: wire.PROTOCOL,
     catalog: () => current,
     dispatcher: testDispatcher.dispatcher,
--- a/test/platform/entries.test.ts
+++ b/test/platform/entries.test.ts
@@ -3,7 +3,7 @@
 import * as standin from "../../bench/platform/documents.js";
 import * as platform from "../../platform/documents.js";
 import * as clock from "../../src/host/clock.js";
-import type * as record from "../../src/host/record.js";
+import type * as structuredLog from "../../src/host/structured-log.js";
 import * as catalog from "../../src/serving/catalog.js";
 import * as feed from "../../src/serving/feed.js";
 import type * as source from "../../src/store/source.js";
@@ -11,8 +11,8 @@
 const { expect } = chai;
 
 const GOOD = standin.entry("llm", "10.0.0.1:80") as Readonly<Record<string, unknown>>;
-const GOOD_KEY = `${platform.SERVERS}good`;
-const BAD_KEY = `${platform.SERVERS}bad`;
+const GOOD_KEY = `${platform.WORKERS_PREFIX}good`;
+const BAD_KEY = `${platform.WORKERS_PREFIX}bad`;
 
 /** Invalid worker entries, by what is wrong with them. */
 const BAD: Readonly<Record<string, string>> = {
@@ -67,17 +67,17 @@
   const told = (sentence: string): void => {
     if (sentence.startsWith("A document")) lines.push(sentence);
   };
-  const log: record.Log = { info: told, warn: told, error: told };
+  const log: structuredLog.Log = { info: told, warn: told, error: told };
   let lastChange = catalog.EMPTY;
   const f = new feed.Feed({
     clock: clock.system,
     log,
     source: new Scripted(batches),
     decoder: {
-      written: platform.stepOf,
-      deleted: platform.goneStep,
-      prefixes: [platform.SERVERS],
-      common: platform.SERVERS,
+      written: platform.updateOf,
+      deleted: platform.deletionUpdateOf,
+      prefixes: [platform.WORKERS_PREFIX],
+      common: platform.WORKERS_PREFIX,
     },
     pace: { ...feed.promptPace(2000), minIntervalMs: 1 },
     onChange: (at) => {
@@ -129,7 +129,7 @@
       fc.property(fc.oneof(fc.json(), entry.map(textOf), fc.string()), (text) => {
         let step: catalog.Update | undefined;
         try {
-          step = platform.stepOf(BAD_KEY, text);
+          step = platform.updateOf(BAD_KEY, text);
         } catch {
           return;
         }
@@ -141,7 +141,7 @@
   });
 
   it("leaves the previous configuration in force if the operator's cannot be decoded", () => {
-    expect(platform.goneStep(`${platform.OPERATOR}config`)).equal(undefined);
+    expect(platform.deletionUpdateOf(`${platform.OPERATOR_PREFIX}config`)).equal(undefined);
   });
 });
 
--- a/test/platform/following.test.ts
+++ b/test/platform/following.test.ts
@@ -4,7 +4,7 @@
 import * as platform from "../../platform/documents.js";
 import * as client from "../../platform/store.js";
 import * as clock from "../../src/host/clock.js";
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import * as feed from "../../src/serving/feed.js";
 
 const { expect } = chai;
@@ -18,7 +18,7 @@
 const CALLS_AT_ONCE = 3;
 
 const ENDPOINT = "i-1";
-const KEY = `${platform.SERVERS}${ENDPOINT}`;
+const KEY = `${platform.WORKERS_PREFIX}${ENDPOINT}`;
 
 async function until(condition: () => boolean): Promise<void> {
   for (let i = 0; i < 800; i++) {
@@ -41,12 +41,12 @@
     source = new client.Store(store.address);
     followed = new feed.Feed({
       clock: clock.system,
-      log: record.silent,
+      log: structuredLog.silent,
       source,
       decoder: {
-        written: platform.stepOf,
-        deleted: platform.goneStep,
-        prefixes: [platform.OPERATOR, platform.SERVERS],
+        written: platform.updateOf,
+        deleted: platform.deletionUpdateOf,
+        prefixes: [platform.OPERATOR_PREFIX, platform.WORKERS_PREFIX],
         common: "",
       },
       pace: feed.promptPace(IN_FORCE_MS),
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -120,7 +120,7 @@
 
 describe("platform documents", () => {
   it("decode to a configuration", () => {
-    const step = documents.stepOf("op/config", JSON.stringify(CONFIG));
+    const step = documents.updateOf("op/config", JSON.stringify(CONFIG));
     if (step?.kind !== "config") throw new Error("no configuration");
     const [route] = step.config.routes;
     expect(route).include({ host: "a.example", kind: "stream", rank: 1, targetMs: 1000 });
@@ -141,16 +141,19 @@
       slots: 96,
       state: "draining",
     };
-    const step = documents.stepOf("servers/i-1", JSON.stringify(entry));
+    const step = documents.updateOf("servers/i-1", JSON.stringify(entry));
     if (step?.kind !== "endpoint") throw new Error("no endpoint");
     expect(step.endpoint).include({ id: "i-1", domain: "a", leaving: true });
-    expect(documents.goneStep("servers/i-1")).deep.equal({ kind: "endpoint_gone", worker: "i-1" });
-    expect(documents.goneStep("other/i-1")).equal(undefined);
+    expect(documents.deletionUpdateOf("servers/i-1")).deep.equal({
+      kind: "endpoint_gone",
+      worker: "i-1",
+    });
+    expect(documents.deletionUpdateOf("other/i-1")).equal(undefined);
   });
 
   it("decode to a version", () => {
     const text = JSON.stringify({ model: "m", adapter: "a7", version: 2 });
-    expect(documents.stepOf("op/version/m.a7", text)).deep.equal({
+    expect(documents.updateOf("op/version/m.a7", text)).deep.equal({
       kind: "version",
       key: "m/a7",
       version: 2,
@@ -161,13 +164,13 @@
     const whole = JSON.stringify(CONFIG);
     fc.assert(
       fc.property(fc.integer({ min: 0, max: whole.length - 1 }), (end) => {
-        expect(() => documents.stepOf("op/config", whole.slice(0, end))).throw();
+        expect(() => documents.updateOf("op/config", whole.slice(0, end))).throw();
       }),
     );
     fc.assert(
       fc.property(fc.json(), (text) => {
-        expect(() => documents.stepOf("servers/x", text)).throw();
-        expect(documents.stepOf("sumacfield/turns/0", text)).equal(undefined);
+        expect(() => documents.updateOf("servers/x", text)).throw();
+        expect(documents.updateOf("sumacfield/turns/0", text)).equal(undefined);
       }),
     );
   });
--- a/test/serving/dispatcher-fixture.ts
+++ b/test/serving/dispatcher-fixture.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import * as clock from "../../src/host/clock.js";
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import type * as authentication from "../../src/serving/authentication.js";
 import * as crashCheck from "../../src/serving/crash-check.js";
 import type * as callerRequest from "../../src/serving/caller-request.js";
@@ -41,7 +41,7 @@
   const known = new endpointRegistry.EndpointRegistry(
     {
       clock: clk,
-      log: record.silent,
+      log: structuredLog.silent,
       host: "entry",
       catalog: currentCatalog,
       daemonOf,
@@ -60,21 +60,21 @@
   );
   const sharedLimiter: limiter.Limiter = new limiter.Limiter({
     clock: clk,
-    log: record.silent,
+    log: structuredLog.silent,
     totals: () => notices.totals(),
     ownerCandidates: (key, n) => known.ownerCandidates(key, n),
     hostCount: () => known.mostHosts() ?? 1,
   });
   const notices = new workerNotices.WorkerNotices({
     clock: clk,
-    log: record.silent,
+    log: structuredLog.silent,
     limiter: sharedLimiter,
     send: () => undefined,
     random: () => 0,
   });
   const suspectList = new suspects.Suspects({
     clock: clk,
-    log: record.silent,
+    log: structuredLog.silent,
     catalog: currentCatalog,
     crashCheck: new crashCheck.CrashCheck(clk),
     send: (key, m) => {
@@ -87,7 +87,7 @@
     { domain: "d1", retries: budget },
     {
       clock: clk,
-      log: record.silent,
+      log: structuredLog.silent,
       metrics: metrics.create(),
       endpoints: known,
       upstream: upstreamPools,
--- a/test/serving/feed.test.ts
+++ b/test/serving/feed.test.ts
@@ -1,7 +1,7 @@
 import * as chai from "chai";
 import * as clock from "../../src/host/clock.js";
-import * as record from "../../src/host/record.js";
-import * as sink from "../../src/host/sink.js";
+import * as structuredLog from "../../src/host/structured-log.js";
+import * as lineSink from "../../src/host/line-sink.js";
 import type * as catalog from "../../src/serving/catalog.js";
 import * as feed from "../../src/serving/feed.js";
 import type * as source from "../../src/store/source.js";
@@ -90,7 +90,7 @@
 function follow(from: FakeSource, pace: feed.WatchPace = feed.promptPace(2000)): feed.Feed {
   const f = new feed.Feed({
     clock: clock.system,
-    log: record.silent,
+    log: structuredLog.silent,
     source: from,
     decoder: DECODER,
     pace,
@@ -278,7 +278,7 @@
   it("never blocks, and reports how many lines it dropped", () => {
     const writes: string[] = [];
     let finishWrite: (() => void) | undefined;
-    const s = new sink.Sink(
+    const s = new lineSink.LineSink(
       (text, written) => {
         writes.push(text);
         finishWrite = () => {
@@ -287,13 +287,13 @@
       },
       (n) => `dropped ${n}`,
     );
-    s.line("first");
+    s.writeLine("first");
     s.flush();
-    for (let i = 0; i < 10_000; i++) s.line("x".repeat(100));
+    for (let i = 0; i < 10_000; i++) s.writeLine("x".repeat(100));
     expect(writes).deep.equal(["first\n"]);
-    expect(s.lost()).above(7000);
+    expect(s.droppedLines()).above(7000);
     finishWrite?.();
-    expect(writes[1]?.endsWith(`dropped ${s.lost()}\n`)).equal(true);
+    expect(writes[1]?.endsWith(`dropped ${s.droppedLines()}\n`)).equal(true);
     finishWrite?.();
   });
 });
--- a/test/serving/links.ts
+++ b/test/serving/links.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import * as clock from "../../src/host/clock.js";
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import * as link from "../../src/serving/link.js";
 import type * as noticeMessages from "../../src/serving/notice-messages.js";
 
@@ -13,7 +13,7 @@
   const told: noticeMessages.Notice[] = [];
   const made = new link.Link(address, {
     clock: clock.system,
-    log: record.silent,
+    log: structuredLog.silent,
     host: "entry",
     onEngineLost: (id) => lost.push(id),
     onAdaptersChanged: () => undefined,
--- a/test/serving/managed-engines.ts
+++ b/test/serving/managed-engines.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import * as clock from "../../src/host/clock.js";
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import * as limiterOwner from "../../src/serving/limiter-owner.js";
 import * as noticeRelay from "../../src/serving/notice-relay.js";
 import * as catalog from "../../src/serving/catalog.js";
@@ -60,7 +60,7 @@
   });
   const manager: engineManager.EngineManager = new engineManager.EngineManager({
     clock: clock.system,
-    log: record.silent,
+    log: structuredLog.silent,
     engine,
     catalog: () => at,
     service: fixtures.SERVICE.name,
@@ -73,12 +73,15 @@
   });
   const port = await ports.free();
   const address = `127.0.0.1:${port}`;
-  const suspicions = new suspicionRelay.SuspicionRelay({ clock: clock.system, log: record.silent });
+  const suspicions = new suspicionRelay.SuspicionRelay({
+    clock: clock.system,
+    log: structuredLog.silent,
+  });
   const parts = {
-    log: record.silent,
+    log: structuredLog.silent,
     engineManager: manager,
     relay: suspicions,
-    limiter: new limiterOwner.LimiterOwner({ clock: clock.system, log: record.silent }),
+    limiter: new limiterOwner.LimiterOwner({ clock: clock.system, log: structuredLog.silent }),
     notices,
   };
   const open = () => seatServer.listen(address, parts);
--- a/test/serving/suspicion.test.ts
+++ b/test/serving/suspicion.test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import * as fc from "fast-check";
-import * as record from "../../src/host/record.js";
+import * as structuredLog from "../../src/host/structured-log.js";
 import type * as clock from "../../src/host/clock.js";
 import * as suspicionState from "../../src/serving/suspicion-state.js";
 import * as suspicionRelay from "../../src/serving/suspicion-relay.js";
@@ -163,7 +163,10 @@
 describe("suspicion messages", () => {
   it("change nothing and are counted if they cannot be parsed", () => {
     const lines: string[] = [];
-    const log: record.Log = { ...record.silent, error: (sentence) => lines.push(sentence) };
+    const log: structuredLog.Log = {
+      ...structuredLog.silent,
+      error: (sentence) => lines.push(sentence),
+    };
     fc.assert(
       fc.property(fc.oneof(fc.anything(), fc.array(fc.object())), (news) => {
         const at = new suspicionState.SuspicionState({ clock: still(), log });
@@ -177,7 +180,7 @@
   });
 
   it("are rejected as a whole if one piece is invalid or there are too many", () => {
-    const at = new suspicionState.SuspicionState({ clock: still(), log: record.silent });
+    const at = new suspicionState.SuspicionState({ clock: still(), log: structuredLog.silent });
     const good = ended(1, 1);
     const bad: readonly unknown[] = [
       [good, { ...good, identity: "short" }],
@@ -203,7 +206,7 @@
         sendLine: () => undefined,
       };
     };
-    const at = new suspicionRelay.SuspicionRelay({ clock: still(), log: record.silent });
+    const at = new suspicionRelay.SuspicionRelay({ clock: still(), log: structuredLog.silent });
     const [a, b, gone] = [client("a"), client("b"), client("gone")];
     for (const c of [a, b, gone]) at.join(c);
     at.leave(gone);
--- a/test/turn.test.ts
+++ b/test/turn.test.ts
@@ -48,7 +48,7 @@
 describe("turn", () => {
   it("is asked of the next keeper at once when one is silent, and not of that one again", async () => {
     const asked: string[] = [];
-    const order = members.first(["e0", "e1", "e2", "e3", "e4"].map(member), "turn", 3);
+    const order = members.pickByHash(["e0", "e1", "e2", "e3", "e4"].map(member), "turn", 3);
     const first = order[0]?.name;
     const own = (await createCoordinator((name) => name === first, asked)).own();
     for (let i = 0; i < 3; i++) expect((await own.ask("a@1", 1)).kind).equal("go");
