--- a/bench/cost/decision.ts
+++ b/bench/cost/decision.ts
@@ -215,7 +215,7 @@
   const event = JSON.stringify({ ...head, model: "a@1~x.1", choices });
   const expected = { name: "a@1~x.1", id: "attempt-1", target: "a@1", endpoint: "e" };
   return measure(20_000, () => {
-    answer.check(event, expected);
+    answer.validate(event, expected);
   });
 }
 
--- a/bench/measure/run.ts
+++ b/bench/measure/run.ts
@@ -6,7 +6,7 @@
 import * as intents from "../../src/contract/intent.js";
 import * as gate from "../../src/endpoint/gate.js";
 import type * as plan from "../../src/endpoint/plan.js";
-import type * as setup from "../../src/endpoint/setup.js";
+import type * as gateSetup from "../../src/endpoint/gate-setup.js";
 import * as turns from "../../src/endpoint/turns.js";
 import * as route from "../../src/entry/route.js";
 import * as views from "../../src/entry/views.js";
@@ -142,14 +142,14 @@
         },
         slots: d.slots,
         halfLifeMs: policy.halfLifeMs,
-        healthMs: LOOK_MS,
-        lagMs: 1000,
-        cancelMs: 30_000,
-        orderMs: 60_000,
+        pollIntervalMs: LOOK_MS,
+        countLagMs: 1000,
+        maxCancelMs: 30_000,
+        orderTimeoutMs: 60_000,
         retryLoadMs: 2000,
         fencing: "ignored",
-        guessLoadMs: 1000 / d.loadsPerS,
-        guessServiceMs: 3000,
+        initialLoadMs: 1000 / d.loadsPerS,
+        initialServiceMs: 3000,
       },
       {
         clock: this.clk,
@@ -157,8 +157,8 @@
         metrics: QUIET,
         engine,
         turn: this.turn(name),
-        hold: { fence: () => 1, trusts: () => true, lost: () => false },
-        source: () => "weights",
+        engineLease: { fencingNumber: () => 1, hasHandedOver: () => true, isLost: () => false },
+        sourceOf: () => "weights",
         revision: () => 1,
       },
     );
@@ -171,7 +171,7 @@
     return { kind, value: (target, now) => -given.nextUse(this.future.get(target), now) };
   }
 
-  private turn(endpoint: string): setup.Turn {
+  private turn(endpoint: string): gateSetup.TurnClient {
     if (!this.p.policy.turns)
       return { ask: () => Promise.resolve({ kind: "go" }), end: () => undefined };
     return {
--- a/src/endpoint/holdings.ts
+++ b/src/endpoint/adapter-manager.ts
@@ -8,31 +8,31 @@
 import * as outcome from "../request/outcome.js";
 import type * as engine from "./engine.js";
 import * as plan from "./plan.js";
-import type * as setup from "./setup.js";
+import type * as gateSetup from "./gate-setup.js";
 import * as slot from "./slot.js";
-import * as smooth from "./smooth.js";
+import * as movingAverage from "./moving-average.js";
 
 /** The state that the gate and the adapter manager share. */
-export interface Cell {
+export interface SharedState {
   state: plan.State;
 }
 
 /** What the adapter manager needs from the gate. */
-export interface Client {
+export interface GateCallbacks {
   /** Whether the daemon accepts work. */
-  readonly serving: () => boolean;
+  readonly isServing: () => boolean;
   /** Called when the engine answered and its loaded adapters are known. */
-  readonly learned: () => void;
+  readonly onEngineKnown: () => void;
   /** Called when the loaded adapters are no longer known. */
-  readonly lost: () => void;
+  readonly onEngineUnknown: () => void;
   /** Rejects all waiting attempts because the engine is unreachable. */
-  readonly engineOut: () => void;
+  readonly rejectAllWaiting: () => void;
   /** Rejects the attempts that wait for `target`. */
-  readonly refuseTarget: (target: string, code: outcome.Code, message: string) => void;
+  readonly rejectWaitingFor: (target: string, code: outcome.Code, message: string) => void;
   /** Frees the seat of an attempt. */
-  readonly release: (id: string) => void;
+  readonly releaseSeat: (id: string) => void;
   /** Called after a change that may lead to new actions of the plan. */
-  readonly changed: () => void;
+  readonly onChange: () => void;
 }
 
 /** Number of failed polls in a row after which the engine counts as unreachable. */
@@ -43,7 +43,7 @@
 const EPOCH_SEPARATOR = "~";
 
 /** Keeps the state of an engine's adapters up to date and carries out loads and evictions. */
-export class Holdings {
+export class AdapterManager {
   /** When each attempt was cancelled that may still run on the engine, in monotonic ms. */
   private readonly cancelledAt = new Map<string, number>();
   /** When each name of another daemon was found that may still be in use, in monotonic ms. */
@@ -63,12 +63,12 @@
   private averageLoadMs: number;
 
   constructor(
-    private readonly opts: setup.Options,
-    private readonly deps: setup.Deps,
-    private readonly shared: Cell,
-    private readonly gate: Client,
+    private readonly opts: gateSetup.Options,
+    private readonly deps: gateSetup.Deps,
+    private readonly shared: SharedState,
+    private readonly gate: GateCallbacks,
   ) {
-    this.averageLoadMs = opts.guessLoadMs;
+    this.averageLoadMs = opts.initialLoadMs;
   }
 
   /** Moving average of the duration of a load, in ms. */
@@ -88,9 +88,9 @@
    * or until `maxCancelMs` has passed; a plain service reports no counts, so there the seat is freed at
    * once.
    */
-  abandon(id: string): void {
+  markCancelled(id: string): void {
     if (this.deps.engine) this.cancelledAt.set(id, this.deps.clock.mono());
-    else this.gate.release(id);
+    else this.gate.releaseSeat(id);
   }
 
   /**
@@ -107,14 +107,14 @@
   }
 
   /** Marks `name` as no longer on the engine. */
-  forget(name: string): void {
+  markUnloaded(name: string): void {
     this.move(name, { type: "unloaded" });
   }
 
   /**
    * Asks for a turn until it is granted, then loads the adapter with the highest score at that time.
    */
-  async load(): Promise<void> {
+  async loadNext(): Promise<void> {
     if (this.activeLoads >= this.opts.plan.loads) return;
     this.activeLoads++;
     try {
@@ -137,21 +137,21 @@
       this.deps.log.error(`Loading an adapter failed unexpectedly: ${errors.messageOf(err)}.`);
     } finally {
       this.activeLoads--;
-      this.gate.changed();
+      this.gate.onChange();
     }
   }
 
   /** The plan's next load, if the daemon may send the engine orders. */
   private nextLoad(): Extract<plan.Action, { kind: "load" }> | undefined {
-    if (!this.gate.serving() || this.deps.hold.lost()) return undefined;
+    if (!this.gate.isServing() || this.deps.engineLease.isLost()) return undefined;
     const actions = plan.next(this.shared.state, this.deps.clock.mono());
     return actions.find((a) => a.kind === "load");
   }
 
   private async loadNow(target: string, evict: string | undefined): Promise<void> {
-    const source = this.deps.source(target);
+    const source = this.deps.sourceOf(target);
     if (source === undefined) {
-      this.gate.refuseTarget(target, "not_found", `The intent has no ${target}.`);
+      this.gate.rejectWaitingFor(target, "not_found", `The intent has no ${target}.`);
       return;
     }
     if (evict !== undefined && !(await this.unload(evict))) return;
@@ -163,10 +163,10 @@
       slots: slot.begin(this.shared.state.slots, name, target, began),
     };
     try {
-      await this.deps.engine?.load(name, source, this.deps.hold.fence());
+      await this.deps.engine?.load(name, source, this.deps.engineLease.fencingNumber());
       this.move(name, { type: "loaded" });
       this.failedLoadAt.delete(target);
-      this.averageLoadMs = smooth.towards(this.averageLoadMs, this.deps.clock.mono() - began);
+      this.averageLoadMs = movingAverage.update(this.averageLoadMs, this.deps.clock.mono() - began);
       this.deps.metrics.count("loads", statsdMetrics.SYSTEM_LABELS);
       this.deps.log.debug(`Loaded ${target}.`);
     } catch (err) {
@@ -179,14 +179,14 @@
     this.move(name, { type: f.outcome === "unknown" ? "lost" : "failed" });
     this.failedLoadAt.set(target, this.deps.clock.mono());
     this.deps.log.warn(`Loading ${target} failed: ${f.message}`);
-    this.gate.refuseTarget(target, "load_failed", f.message);
+    this.gate.rejectWaitingFor(target, "load_failed", f.message);
   }
 
   /** Unloads `name`; returns whether its slot is free. */
   private async unload(name: string): Promise<boolean> {
     this.move(name, { type: "unload" });
     try {
-      await this.deps.engine?.unload(name, this.deps.hold.fence());
+      await this.deps.engine?.unload(name, this.deps.engineLease.fencingNumber());
       this.move(name, { type: "unloaded" });
       this.deps.metrics.count("evictions", statsdMetrics.SYSTEM_LABELS);
       return true;
@@ -202,7 +202,7 @@
    * Polls the engine once: takes over its adapters on the first poll, compares them with the known
    * slots on later ones, and resolves doubtful slots.
    */
-  async look(): Promise<void> {
+  async poll(): Promise<void> {
     const { engine: eng, clock: clk } = this.deps;
     if (!eng) return;
     const began = clk.mono();
@@ -228,8 +228,8 @@
     if (first) await this.adoptAll(names, began);
     else await this.reconcile(names, knownBefore, began);
     this.releaseStopped(health, began);
-    this.gate.learned();
-    this.gate.changed();
+    this.gate.onEngineKnown();
+    this.gate.onChange();
   }
 
   /** Counts a failed poll; the engine counts as unreachable after `MAX_FAILED_POLLS` in a row. */
@@ -237,8 +237,8 @@
     this.failedPolls++;
     if (this.failedPolls !== MAX_FAILED_POLLS) return;
     this.deps.log.warn(`The engine is out: ${errors.messageOf(err)}`);
-    this.gate.lost();
-    this.gate.engineOut();
+    this.gate.onEngineUnknown();
+    this.gate.rejectAllWaiting();
   }
 
   /** Takes over the adapters that other daemons left on the engine, on the first poll. */
@@ -252,10 +252,11 @@
    * orders of all earlier holders of the lease.
    */
   private async fenceOffOthers(): Promise<boolean> {
-    if (this.opts.fencing === "ignored" || this.deps.hold.fence() === 0) return false;
+    if (this.opts.fencing === "ignored" || this.deps.engineLease.fencingNumber() === 0)
+      return false;
     const unusedName = `none${EPOCH_SEPARATOR}${this.opts.epoch}`;
     try {
-      await this.deps.engine?.unload(unusedName, this.deps.hold.fence());
+      await this.deps.engine?.unload(unusedName, this.deps.engineLease.fencingNumber());
       return true;
     } catch {
       return false;
@@ -270,7 +271,9 @@
     const separator = name.lastIndexOf(EPOCH_SEPARATOR);
     const epoch = name.slice(separator + 1, name.lastIndexOf("."));
     const usable =
-      separator > 0 && epoch !== this.opts.epoch && (othersFenced || this.deps.hold.trusts(epoch));
+      separator > 0 &&
+      epoch !== this.opts.epoch &&
+      (othersFenced || this.deps.engineLease.hasHandedOver(epoch));
     const target = usable ? name.slice(0, separator) : undefined;
     let slots = slot.adopt(this.shared.state.slots, name, target, now);
     if (target === undefined) {
@@ -307,7 +310,7 @@
 
   private async resolveDoubt(s: slot.Slot, listed: boolean, now: number): Promise<void> {
     if (listed) await this.unload(s.name);
-    else if (now - s.since > this.opts.orderMs) this.move(s.name, { type: "unloaded" });
+    else if (now - s.since > this.opts.orderTimeoutMs) this.move(s.name, { type: "unloaded" });
   }
 
   /**
@@ -326,13 +329,13 @@
     for (const [id, markedAt] of this.cancelledAt) {
       // Under steady load the counts may never confirm it; then the attempt is assumed to have stopped
       // after `maxCancelMs`.
-      if (now - markedAt < (confirmed ? this.opts.lagMs : this.opts.cancelMs)) continue;
+      if (now - markedAt < (confirmed ? this.opts.countLagMs : this.opts.maxCancelMs)) continue;
       this.cancelledAt.delete(id);
-      this.gate.release(id);
+      this.gate.releaseSeat(id);
     }
     if (!confirmed) return;
     for (const [name, foundAt] of this.foreignFoundAt) {
-      if (now - foundAt < this.opts.lagMs) continue;
+      if (now - foundAt < this.opts.countLagMs) continue;
       this.foreignFoundAt.delete(name);
       this.shared.state = {
         ...this.shared.state,
@@ -345,7 +348,7 @@
   private certainlyCounted(now: number): number {
     let count = 0;
     for (const r of this.shared.state.running.values()) {
-      if (!this.cancelledAt.has(r.id) && now - r.dispatchedAt >= this.opts.lagMs) count++;
+      if (!this.cancelledAt.has(r.id) && now - r.dispatchedAt >= this.opts.countLagMs) count++;
     }
     return count;
   }
--- a/src/endpoint/answer.ts
+++ b/src/endpoint/answer.ts
@@ -8,7 +8,7 @@
 import * as outcome from "../request/outcome.js";
 
 /** What the answer must contain, and the public name that replaces the engine's name for callers. */
-export interface Expected {
+export interface ExpectedAnswer {
   /** Adapter name that was sent to the engine. */
   readonly name: string;
   /** The attempt's id; the answer's id must contain it. */
@@ -20,7 +20,7 @@
 
 const END_MARKER = "[DONE]";
 
-function mismatch(e: Expected, message: string): outcome.StepError {
+function mismatch(e: ExpectedAnswer, message: string): outcome.StepError {
   return new outcome.StepError({
     code: "answer_mismatch",
     outcome: "failed",
@@ -30,7 +30,7 @@
   });
 }
 
-function linkBroken(e: Expected, message: string): outcome.StepError {
+function linkBroken(e: ExpectedAnswer, message: string): outcome.StepError {
   return new outcome.StepError({
     code: "link_broken",
     outcome: "unknown",
@@ -41,7 +41,7 @@
 }
 
 /** Validates one JSON object of the engine's answer and replaces the engine's name by the public one. */
-export function check(text: string, e: Expected): string {
+export function validate(text: string, e: ExpectedAnswer): string {
   let fields: Record<string, unknown>;
   try {
     fields = JSON.parse(text) as Record<string, unknown>;
@@ -58,7 +58,11 @@
 }
 
 /** Reads a complete answer of at most `limit` bytes and validates it. */
-export async function whole(body: stream.Readable, e: Expected, limit: number): Promise<string> {
+export async function readAll(
+  body: stream.Readable,
+  e: ExpectedAnswer,
+  limit: number,
+): Promise<string> {
   const parts: Buffer[] = [];
   let size = 0;
   try {
@@ -75,16 +79,16 @@
   }
   if (size > limit)
     throw mismatch(e, `The engine's answer is larger than ${limit} bytes; request a stream.`);
-  return check(Buffer.concat(parts).toString(), e);
+  return validate(Buffer.concat(parts).toString(), e);
 }
 
 /**
  * Yields the validated events of a streamed answer, each serialized as a server-sent event. `limit`
  * bounds the bytes of one event. Throws if the stream ends without the engine's `[DONE]` marker.
  */
-export async function* streamed(
+export async function* readEvents(
   body: stream.Readable,
-  e: Expected,
+  e: ExpectedAnswer,
   limit: number,
 ): AsyncGenerator<string> {
   let pending: string[] = [];
@@ -94,7 +98,7 @@
     onEvent: ({ data }) => {
       seen.done = data === END_MARKER;
       size = 0;
-      pending.push(`data: ${seen.done ? END_MARKER : check(data, e)}\n\n`);
+      pending.push(`data: ${seen.done ? END_MARKER : validate(data, e)}\n\n`);
     },
   });
   const decoder = new TextDecoder();
--- a/src/endpoint/register.ts
+++ b/src/endpoint/attempt-register.ts
@@ -21,7 +21,7 @@
 const TTL_MS = 4 * keys.WINDOW_MS;
 
 /** The attempts of one run of the daemon process. */
-export class Register {
+export class AttemptRegister {
   private readonly stages: lru.LRUCache<string, Stage>;
 
   constructor(clk: clock.Clock, limit = MAX_ATTEMPTS) {
@@ -34,20 +34,20 @@
   }
 
   /** Adds an attempt; returns false if it was already known. */
-  open(id: string): boolean {
+  add(id: string): boolean {
     if (this.stages.has(id)) return false;
     this.stages.set(id, "open");
     return true;
   }
 
   /** Marks an attempt as sent to the engine. Throws RangeError unless it is open. */
-  dispatched(id: string): void {
+  markDispatched(id: string): void {
     if (this.stages.get(id) !== "open") throw new RangeError(`attempt ${id} is not open`);
     this.stages.set(id, "dispatched");
   }
 
   /** Reopens a dispatched attempt that the engine reported as not run. */
-  undispatched(id: string): void {
+  reopen(id: string): void {
     this.stages.set(id, "open");
   }
 
--- a/src/endpoint/daemon.ts
+++ b/src/endpoint/daemon.ts
@@ -15,7 +15,7 @@
 import * as gate from "./gate.js";
 import * as server from "./server.js";
 import * as service from "./service.js";
-import * as turn from "./turn.js";
+import * as turnCoordinator from "./turn-coordinator.js";
 import * as vllm from "./vllm.js";
 
 /** Settings of an endpoint daemon. */
@@ -127,7 +127,7 @@
     { endpoint: cfg.name, epoch: parts.epoch, ttlMs: cfg.leaseMs },
     { clock: clk, log: parts.logOf("lease"), store: parts.store },
   );
-  const coordinator = new turn.Desk(
+  const coordinator = new turnCoordinator.TurnCoordinator(
     {
       parallel: cfg.parallelLoads,
       holdMs: cfg.turnHoldMs,
@@ -149,7 +149,7 @@
   const engine = vllm.open({
     url: cfg.backendUrl,
     timeoutMs: cfg.engineTimeoutMs,
-    orderMs: cfg.orderMs,
+    orderTimeoutMs: cfg.orderMs,
     connections: cfg.queue,
   });
 
@@ -168,27 +168,27 @@
         },
         slots: object.spec.slots,
         halfLifeMs: cfg.halfLifeMs,
-        healthMs: cfg.engineEveryMs,
-        lagMs: cfg.engineLagMs,
-        cancelMs: cfg.engineCancelMs,
-        orderMs: cfg.orderMs,
+        pollIntervalMs: cfg.engineEveryMs,
+        countLagMs: cfg.engineLagMs,
+        maxCancelMs: cfg.engineCancelMs,
+        orderTimeoutMs: cfg.orderMs,
         retryLoadMs: cfg.retryLoadMs,
         fencing: object.spec.fencing,
-        guessLoadMs: cfg.guessLoadMs,
-        guessServiceMs: cfg.guessServiceMs,
+        initialLoadMs: cfg.guessLoadMs,
+        initialServiceMs: cfg.guessServiceMs,
       },
       {
         clock: clk,
         log: parts.logOf("gate"),
         metrics: parts.metrics,
         engine: object.spec.serves === "engine" ? engine : undefined,
-        turn: coordinator.own(),
-        hold: {
-          fence: () => holder.fence(),
-          trusts: (epoch) => holder.trusts(epoch),
-          lost: () => object.spec.serves === "engine" && holder.state() === "lost",
+        turn: coordinator.client(),
+        engineLease: {
+          fencingNumber: () => holder.fence(),
+          hasHandedOver: (epoch) => holder.trusts(epoch),
+          isLost: () => object.spec.serves === "engine" && holder.state() === "lost",
         },
-        source: (target) => sourceOf(parts.feed.intent(), target),
+        sourceOf: (target) => sourceOf(parts.feed.intent(), target),
         revision: () => parts.feed.intent().revision,
       },
     );
@@ -220,9 +220,9 @@
     changesAfter: (revision) => parts.feed.changesAfter(revision),
     learn: (page) => parts.feed.learn(page),
     cancel: (id, epoch) => current?.gate.cancel(id, epoch) ?? { kind: "unknown_epoch" },
-    askTurn: (ask) => coordinator.ask(ask),
+    askTurn: (ask) => coordinator.handleAsk(ask),
     endTurn: (name) => {
-      coordinator.end(name);
+      coordinator.handleEnd(name);
     },
     explain: () => [],
   };
--- a/src/endpoint/setup.ts
+++ b/src/endpoint/gate-setup.ts
@@ -10,19 +10,19 @@
 import type * as plan from "./plan.js";
 
 /** Asks for this endpoint's turn to load from the weight store, which the whole deployment shares. */
-export interface Turn {
+export interface TurnClient {
   readonly ask: (target: string, score: number) => Promise<control.TurnAnswer>;
   readonly end: () => void;
 }
 
 /** This daemon's exclusive lease on the engine. */
-export interface Hold {
+export interface EngineLease {
   /** Fencing number to send with load and unload orders; 0 if the lease was never held. */
-  readonly fence: () => number;
+  readonly fencingNumber: () => number;
   /** Whether the daemon with `epoch` handed over the engine and sends it no more orders. */
-  readonly trusts: (epoch: string) => boolean;
+  readonly hasHandedOver: (epoch: string) => boolean;
   /** Whether another daemon took over the lease. */
-  readonly lost: () => boolean;
+  readonly isLost: () => boolean;
 }
 
 export interface Options {
@@ -33,20 +33,20 @@
   readonly slots: number;
   readonly halfLifeMs: number;
   /** Milliseconds between polls of the engine. */
-  readonly healthMs: number;
+  readonly pollIntervalMs: number;
   /** Milliseconds by which the request counts of the engine may lag behind. */
-  readonly lagMs: number;
+  readonly countLagMs: number;
   /** Milliseconds after which a cancelled request has certainly ended, whatever the counts show. */
-  readonly cancelMs: number;
+  readonly maxCancelMs: number;
   /** Milliseconds for which an order may still take effect after its reply was lost. */
-  readonly orderMs: number;
+  readonly orderTimeoutMs: number;
   /** Milliseconds to wait after a failed load before the same adapter is loaded again. */
   readonly retryLoadMs: number;
   /** Whether the engine refuses orders with an outdated fencing number. */
   readonly fencing: "honoured" | "ignored";
   /** Initial estimates of the duration of a load and of an answer, in ms. */
-  readonly guessLoadMs: number;
-  readonly guessServiceMs: number;
+  readonly initialLoadMs: number;
+  readonly initialServiceMs: number;
 }
 
 export interface Deps {
@@ -55,10 +55,10 @@
   readonly metrics: statsdMetrics.Metrics;
   /** Undefined for a plain service. */
   readonly engine: engine.Engine | undefined;
-  readonly turn: Turn;
-  readonly hold: Hold;
+  readonly turn: TurnClient;
+  readonly engineLease: EngineLease;
   /** Location of the weights of `target`; undefined if the intent has no such version. */
-  readonly source: (target: string) => string | undefined;
+  readonly sourceOf: (target: string) => string | undefined;
   /** Revision of the intent that this daemon follows. */
   readonly revision: () => number;
 }
--- a/src/endpoint/gate.ts
+++ b/src/endpoint/gate.ts
@@ -8,13 +8,13 @@
 import type * as control from "../link/control.js";
 import type * as wire from "../link/wire.js";
 import * as outcome from "../request/outcome.js";
-import * as holdings from "./holdings.js";
-import * as life from "./life.js";
+import * as adapterManager from "./adapter-manager.js";
+import * as lifecycle from "./lifecycle.js";
 import * as plan from "./plan.js";
-import * as register from "./register.js";
-import type * as setup from "./setup.js";
+import * as attemptRegister from "./attempt-register.js";
+import type * as gateSetup from "./gate-setup.js";
 import * as slot from "./slot.js";
-import * as smooth from "./smooth.js";
+import * as movingAverage from "./moving-average.js";
 
 /** Permission to run one attempt on the engine. */
 export interface Seat {
@@ -49,10 +49,10 @@
 
 /** Admits attempts, dispatches them to the engine, and requests adapter loads. */
 export class Gate {
-  private readonly shared: holdings.Cell;
-  private readonly adapters: holdings.Holdings;
-  private readonly lifecycle: ReturnType<typeof life.start>;
-  private readonly register: register.Register;
+  private readonly shared: adapterManager.SharedState;
+  private readonly adapters: adapterManager.AdapterManager;
+  private readonly lifecycle: ReturnType<typeof lifecycle.start>;
+  private readonly register: attemptRegister.AttemptRegister;
   private readonly pending = new Map<string, PendingAttempt>();
   private deadlineTimer: clock.Timer | undefined;
   private seq = 0;
@@ -61,34 +61,34 @@
   private stopped = false;
 
   constructor(
-    private readonly opts: setup.Options,
-    private readonly deps: setup.Deps,
+    private readonly opts: gateSetup.Options,
+    private readonly deps: gateSetup.Deps,
   ) {
     this.shared = { state: plan.idle(opts.plan, opts.slots, opts.halfLifeMs) };
-    this.adapters = new holdings.Holdings(opts, deps, this.shared, {
-      serving: () => !this.stopped && this.lifecycle.state() === "serving",
-      learned: () => {
+    this.adapters = new adapterManager.AdapterManager(opts, deps, this.shared, {
+      isServing: () => !this.stopped && this.lifecycle.state() === "serving",
+      onEngineKnown: () => {
         if (this.lifecycle.state() === "learning") this.lifecycle.send({ type: "engine_known" });
       },
-      lost: () => {
+      onEngineUnknown: () => {
         this.lifecycle.send({ type: "engine_unknown" });
       },
-      engineOut: () => {
-        this.withdrawAll("not_ready", "The engine is out.", opts.healthMs);
+      rejectAllWaiting: () => {
+        this.withdrawAll("not_ready", "The engine is out.", opts.pollIntervalMs);
       },
-      refuseTarget: (target, code, message) => {
+      rejectWaitingFor: (target, code, message) => {
         this.withdrawTarget(target, code, message);
       },
-      release: (id) => {
+      releaseSeat: (id) => {
         this.release(id);
       },
-      changed: () => {
+      onChange: () => {
         this.runPlan();
       },
     });
-    this.register = new register.Register(deps.clock);
-    this.serviceMs = opts.guessServiceMs;
-    this.lifecycle = life.start((now) => {
+    this.register = new attemptRegister.AttemptRegister(deps.clock);
+    this.serviceMs = opts.initialServiceMs;
+    this.lifecycle = lifecycle.start((now) => {
       deps.log.info(`Lifecycle state: ${now}.`);
     });
     if (!deps.engine) this.lifecycle.send({ type: "engine_known" });
@@ -101,7 +101,7 @@
       endpoint: this.opts.name,
       epoch: this.opts.epoch,
       seq: this.seq,
-      state: this.deps.hold.lost() ? "learning" : this.lifecycle.state(),
+      state: this.deps.engineLease.isLost() ? "learning" : this.lifecycle.state(),
       running: this.shared.state.running.size,
       waiting: this.shared.state.waiting.length,
       seats: this.shared.state.opts.seats,
@@ -166,7 +166,7 @@
   }
 
   private checkRegistered(a: wire.Attempt): outcome.StepError | undefined {
-    if (this.register.open(a.id)) return undefined;
+    if (this.register.add(a.id)) return undefined;
     return this.notRun("duplicate", "This attempt was already received or given up.");
   }
 
@@ -177,12 +177,20 @@
         "The attempt was addressed to an earlier start of this daemon.",
       );
     }
-    if (this.deps.hold.lost()) {
-      return this.notRun("not_ready", "Another daemon holds this engine.", this.opts.healthMs);
+    if (this.deps.engineLease.isLost()) {
+      return this.notRun(
+        "not_ready",
+        "Another daemon holds this engine.",
+        this.opts.pollIntervalMs,
+      );
     }
     switch (this.lifecycle.state()) {
       case "learning":
-        return this.notRun("not_ready", "The engine's state is not known yet.", this.opts.healthMs);
+        return this.notRun(
+          "not_ready",
+          "The engine's state is not known yet.",
+          this.opts.pollIntervalMs,
+        );
       case "draining":
         return this.notRun("leaving", "The endpoint is draining.");
       case "serving":
@@ -273,9 +281,9 @@
     if (!this.deps.engine) this.lifecycle.send({ type: "engine_known" });
   }
 
-  /** Polls the engine once; see {@link holdings.Holdings.look}. */
+  /** Polls the engine once; see {@link adapterManager.AdapterManager.poll}. */
   look(): Promise<void> {
-    return this.adapters.look();
+    return this.adapters.poll();
   }
 
   private withdrawTarget(target: string, code: outcome.Code, message: string): void {
@@ -320,7 +328,7 @@
           );
           break;
         case "load":
-          void this.adapters.load();
+          void this.adapters.loadNext();
           break;
       }
     }
@@ -340,7 +348,7 @@
     if (!pending || !waiting || this.lifecycle.state() !== "serving") return;
     this.pending.delete(id);
     this.shared.state = plan.dispatch(this.shared.state, id, name, now);
-    this.register.dispatched(id);
+    this.register.markDispatched(id);
     const labels = { caller: waiting.caller, class: pending.attempt.class };
     const loadedAt = this.shared.state.slots.byName.get(name)?.since ?? 0;
     const stallMs = waiting.needsAdapter ? Math.max(0, loadedAt - waiting.arrivedAt) : 0;
@@ -370,16 +378,19 @@
       stallMs,
       dispatchedAt,
       end: once(() => {
-        this.serviceMs = smooth.towards(this.serviceMs, this.deps.clock.mono() - dispatchedAt);
+        this.serviceMs = movingAverage.update(
+          this.serviceMs,
+          this.deps.clock.mono() - dispatchedAt,
+        );
         this.release(id);
       }),
       abandon: once(() => {
-        this.adapters.abandon(id);
+        this.adapters.markCancelled(id);
       }),
       again: () => {
         once(() => {
           this.shared.state = plan.end(this.shared.state, id);
-          this.adapters.forget(name);
+          this.adapters.markUnloaded(name);
         })();
         return this.readmit(pending, waiting);
       },
@@ -388,7 +399,7 @@
 
   /** Queues an attempt that the engine certainly did not run again, with its original arrival time. */
   private readmit(pending: PendingAttempt, waiting: plan.Waiting): Promise<Seat> {
-    this.register.undispatched(waiting.id);
+    this.register.reopen(waiting.id);
     return new Promise((resolve, reject) => {
       this.pending.set(waiting.id, { ...pending, resolve, reject });
       this.shared.state = {
--- a/src/endpoint/life.ts
+++ b/src/endpoint/lifecycle.ts
@@ -5,7 +5,7 @@
  */
 import * as xstate from "xstate";
 
-export type LifeEvent =
+export type LifecycleEvent =
   /** The engine answered, and its loaded adapters are known. */
   | { readonly type: "engine_known" }
   /** The engine is unreachable, so its loaded adapters are not known. */
@@ -13,7 +13,7 @@
   | { readonly type: "drain" }
   | { readonly type: "resume" };
 
-const machine = xstate.setup({ types: { events: {} as LifeEvent } }).createMachine({
+const machine = xstate.setup({ types: { events: {} as LifecycleEvent } }).createMachine({
   id: "life",
   initial: "learning",
   states: {
@@ -23,12 +23,12 @@
   },
 });
 
-export type Life = "learning" | "serving" | "draining";
+export type LifecycleState = "learning" | "serving" | "draining";
 
 /** Starts the lifecycle; `onChange` is called with each new state. */
-export function start(onChange: (life: Life) => void) {
+export function start(onChange: (life: LifecycleState) => void) {
   const actor = xstate.createActor(machine);
-  let last: Life = "learning";
+  let last: LifecycleState = "learning";
   actor.subscribe((snapshot) => {
     if (snapshot.value === last) return;
     last = snapshot.value;
@@ -36,9 +36,9 @@
   });
   actor.start();
   return {
-    state: (): Life => actor.getSnapshot().value,
+    state: (): LifecycleState => actor.getSnapshot().value,
     /** Sends an event; one that the current state does not handle has no effect. */
-    send: (event: LifeEvent): void => {
+    send: (event: LifecycleEvent): void => {
       actor.send(event);
     },
   };
--- a/src/endpoint/smooth.ts
+++ b/src/endpoint/moving-average.ts
@@ -7,6 +7,6 @@
 const SAMPLE_WEIGHT = 0.2;
 
 /** The average after one more sample. */
-export function towards(average: number, sample: number): number {
+export function update(average: number, sample: number): number {
   return average + SAMPLE_WEIGHT * (sample - average);
 }
--- a/src/endpoint/server.ts
+++ b/src/endpoint/server.ts
@@ -175,7 +175,7 @@
   res: http.ServerResponse,
 ): Promise<void> {
   const { seat, response } = await callEngine(opts, deps, a, work, fields, seatRef, signal);
-  const expected: answer.Expected = {
+  const expected: answer.ExpectedAnswer = {
     name: seat.name,
     id: a.id,
     target: gate.targetOf(work),
@@ -188,7 +188,7 @@
     "sumacfield-stall-ms": String(Math.round(seat.stallMs)),
   };
   if (!work.stream) {
-    const checked = await answer.whole(response.body, expected, opts.answerLimit);
+    const checked = await answer.readAll(response.body, expected, opts.answerLimit);
     seat.end();
     const size = Buffer.byteLength(checked);
     res.writeHead(200, { ...head, ...reportHeader(deps), "content-length": size });
@@ -197,7 +197,7 @@
   }
   // Sends the head with the first event, so that an earlier failure can still be sent as an error.
   let headSent = false;
-  for await (const event of answer.streamed(response.body, expected, opts.answerLimit)) {
+  for await (const event of answer.readEvents(response.body, expected, opts.answerLimit)) {
     if (!headSent) res.writeHead(200, { ...head, ...reportHeader(deps) });
     headSent = true;
     if (!res.write(event)) await waitForDrain(res, signal);
--- a/src/endpoint/service.ts
+++ b/src/endpoint/service.ts
@@ -27,7 +27,9 @@
  * The request headers to forward: without hop-by-hop headers, those that `connection` lists, internal
  * headers and `authorization`.
  */
-export function passable(headers: http.IncomingHttpHeaders): Record<string, string | string[]> {
+export function forwardableHeaders(
+  headers: http.IncomingHttpHeaders,
+): Record<string, string | string[]> {
   const connectionHeaders = (headers.connection ?? "")
     .split(",")
     .map((h) => h.trim().toLowerCase());
@@ -61,7 +63,7 @@
         return await undici.request(url + path, {
           dispatcher: agent,
           method: method,
-          headers: passable(req.headers),
+          headers: forwardableHeaders(req.headers),
           body: hasNoBody ? null : req,
           signal,
         });
--- a/src/endpoint/turn.ts
+++ b/src/endpoint/turn-coordinator.ts
@@ -9,7 +9,7 @@
 import * as members from "../host/members.js";
 import type * as control from "../link/control.js";
 import type * as hosts from "../store/hosts.js";
-import type * as setup from "./setup.js";
+import type * as gateSetup from "./gate-setup.js";
 import * as turns from "./turns.js";
 
 /** Dependencies of a coordinator. */
@@ -30,7 +30,7 @@
 const RENEWALS_PER_HOLD = 3;
 
 /** Grants turns as the keeper, and asks for this endpoint's turn. */
-export class Desk {
+export class TurnCoordinator {
   private turns: turns.Turns;
   /** Members that may be keeper, in order of preference. */
   private keepers: readonly hosts.Member[] = [];
@@ -54,19 +54,19 @@
   }
 
   /** Answers a request for a turn, as the keeper. */
-  ask(a: control.TurnAsk): control.TurnAnswer {
+  handleAsk(a: control.TurnAsk): control.TurnAnswer {
     const { turns: next, answer } = turns.ask(this.turns, a, this.deps.clock.mono());
     this.turns = next;
     return answer;
   }
 
   /** Ends the turn of `endpoint`, as the keeper. */
-  end(endpoint: string): void {
+  handleEnd(endpoint: string): void {
     this.turns = turns.end(this.turns, endpoint, this.deps.clock.mono());
   }
 
   /** A client that asks the current keeper for turns of this endpoint. */
-  own(): setup.Turn {
+  client(): gateSetup.TurnClient {
     const { name, peer } = this.deps;
     let renewalTimer: clock.Timer | undefined;
     // Falls back to the next keeper if one does not answer. Without any keeper the load starts at
@@ -74,7 +74,7 @@
     const ask = async (a: control.TurnAsk): Promise<control.TurnAnswer> => {
       const keeper = this.keeper();
       if (!keeper) return { kind: "go" };
-      if (keeper.name === name) return this.ask(a);
+      if (keeper.name === name) return this.handleAsk(a);
       try {
         return await peer(keeper).askTurn.mutate(a);
       } catch (err) {
@@ -103,7 +103,7 @@
         renewalTimer?.cancel();
         const keeper = this.keeper();
         if (!keeper || keeper.name === name) {
-          this.end(name);
+          this.handleEnd(name);
           return;
         }
         // If this call is lost, the keeper frees the turn after `holdMs`.
--- a/src/endpoint/vllm.ts
+++ b/src/endpoint/vllm.ts
@@ -23,7 +23,7 @@
   /** Timeout of calls for health and the list of models, in ms. */
   readonly timeoutMs: number;
   /** Timeout of a load or unload, in ms; a load includes the read from the weight store. */
-  readonly orderMs: number;
+  readonly orderTimeoutMs: number;
   /** Largest number of connections to the engine; at least the number of its seats. */
   readonly connections: number;
 }
@@ -87,7 +87,7 @@
         method: "POST",
         headers: { "content-type": "application/json", [FENCE_HEADER]: String(fence) },
         body: JSON.stringify(body),
-        signal: AbortSignal.timeout(opts.orderMs),
+        signal: AbortSignal.timeout(opts.orderTimeoutMs),
       });
       text = await res.body.text();
     } catch (err) {
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -268,7 +268,7 @@
     target,
     work: { kind: "service", service: name, method, path: `/${rest.join("/")}${a.url.search}` },
     repeatable: a.headers.repeatable && target.spec.repeatable.includes(method),
-    headers: service.passable(req.headers),
+    headers: service.forwardableHeaders(req.headers),
     body: isBuffered ? await body.read(req, MAX_BUFFERED_BODY_BYTES, a.peer) : req,
   });
 }
--- a/test/endpoint.test.ts
+++ b/test/endpoint.test.ts
@@ -4,7 +4,7 @@
 import * as answer from "../src/endpoint/answer.js";
 import * as plan from "../src/endpoint/plan.js";
 import * as popularity from "../src/endpoint/popularity.js";
-import * as register from "../src/endpoint/register.js";
+import * as attemptRegister from "../src/endpoint/attempt-register.js";
 import * as slot from "../src/endpoint/slot.js";
 import * as turns from "../src/endpoint/turns.js";
 import * as outcome from "../src/request/outcome.js";
@@ -207,15 +207,15 @@
     const step = fc.constantFrom("open", "dispatch", "give up");
     fc.assert(
       fc.property(fc.array(step, { maxLength: 12 }), (steps) => {
-        const r = new register.Register(new time.Time(), 10);
+        const r = new attemptRegister.AttemptRegister(new time.Time(), 10);
         let dispatched = 0;
         let givenUp = false;
         for (const s of steps) {
-          if (s === "open") r.open("x");
+          if (s === "open") r.add("x");
           else if (s === "give up") givenUp ||= r.giveUp("x") === "given_up";
           else {
             try {
-              r.dispatched("x");
+              r.markDispatched("x");
               dispatched++;
               expect(givenUp).equal(false);
             } catch (err) {
@@ -273,14 +273,19 @@
   });
 });
 
-const EXPECTED: answer.Expected = { name: "a@1~x.1", id: "id-1", target: "a@1", endpoint: "e" };
+const EXPECTED: answer.ExpectedAnswer = {
+  name: "a@1~x.1",
+  id: "id-1",
+  target: "a@1",
+  endpoint: "e",
+};
 const event = (i: number): string =>
   `data: ${JSON.stringify({ id: "cmpl-id-1", model: EXPECTED.name, n: i, text: "é\n" })}\n\n`;
 
 async function collect(parts: readonly Buffer[]): Promise<string> {
   let out = "";
   const body = stream.Readable.from(parts);
-  for await (const e of answer.streamed(body, EXPECTED, 10_000)) out += e;
+  for await (const e of answer.readEvents(body, EXPECTED, 10_000)) out += e;
   return out;
 }
 
--- a/test/steps/orders.ts
+++ b/test/steps/orders.ts
@@ -114,7 +114,7 @@
   vllm.open({
     url: String(w.notes.get("engine")),
     timeoutMs: 1000,
-    orderMs: 1000,
+    orderTimeoutMs: 1000,
     connections: 1,
   });
 
--- a/test/turn.test.ts
+++ b/test/turn.test.ts
@@ -1,6 +1,6 @@
 import * as chai from "chai";
 import * as time from "../bench/measure/time.js";
-import * as turn from "../src/endpoint/turn.js";
+import * as turnCoordinator from "../src/endpoint/turn-coordinator.js";
 import * as log from "../src/host/log.js";
 import * as members from "../src/host/members.js";
 import type * as control from "../src/link/control.js";
@@ -23,7 +23,7 @@
 async function createCoordinator(
   silent: (name: string) => boolean,
   asked: string[],
-): Promise<turn.Desk> {
+): Promise<turnCoordinator.TurnCoordinator> {
   const listed = ["e0", "e1", "e2", "e3", "e4"].map(member);
   const mems = new members.Members({ list: () => Promise.resolve(listed) }, log.silent);
   const peer = (m: hosts.Member): control.Peer => {
@@ -34,7 +34,7 @@
     return { askTurn: { mutate } } as unknown as control.Peer;
   };
   const opts = { parallel: 1, holdMs: 1000, askMinMs: 10, askMaxMs: 100 };
-  const coordinator = new turn.Desk(opts, {
+  const coordinator = new turnCoordinator.TurnCoordinator(opts, {
     clock: new time.Time(),
     log: log.silent,
     name: "e0",
@@ -50,14 +50,14 @@
     const asked: string[] = [];
     const order = members.pickByHash(["e0", "e1", "e2", "e3", "e4"].map(member), "turn", 3);
     const first = order[0]?.name;
-    const own = (await createCoordinator((name) => name === first, asked)).own();
+    const own = (await createCoordinator((name) => name === first, asked)).client();
     for (let i = 0; i < 3; i++) expect((await own.ask("a@1", 1)).kind).equal("go");
     expect(asked.filter((name) => name === first).length).most(1);
   });
 
   it("is granted locally when no keeper answers, and silent keepers are not asked again", async () => {
     const asked: string[] = [];
-    const own = (await createCoordinator(() => true, asked)).own();
+    const own = (await createCoordinator(() => true, asked)).client();
     for (let i = 0; i < 3; i++) expect((await own.ask("a@1", 1)).kind).equal("go");
     expect(asked.length).most(3);
   });
