--- a/bench/cost/decision.ts
+++ b/bench/cost/decision.ts
@@ -66,7 +66,7 @@
   };
 }
 
-async function viewsOf(endpoints: number, adapters: number): Promise<views.Views> {
+async function viewsOf(endpoints: number, adapters: number): Promise<views.EndpointViews> {
   const listed = Array.from({ length: endpoints }, (_, i) => ({
     name: `engine-${i}`,
     role: "endpoint" as const,
@@ -75,13 +75,13 @@
     leaving: false,
   }));
   const mems = new members.Members({ list: () => Promise.resolve(listed) }, log.silent);
-  const known = new views.Views(
+  const known = new views.EndpointViews(
     {
-      asked: 16,
-      quietMs: 1000,
-      misses: 3,
+      maxPolled: 16,
+      pollAfterMs: 1000,
+      maxMisses: 3,
       candidates: 6,
-      holders: 8,
+      maxHolders: 8,
       circuit: { failures: 3, openMs: 1, openMaxMs: 1 },
     },
     {
@@ -95,7 +95,7 @@
   );
   await mems.refresh();
   const random = workload.randomOf(7);
-  for (let i = 0; i < endpoints; i++) known.hear(newsOf(i, adapters, random));
+  for (let i = 0; i < endpoints; i++) known.receive(newsOf(i, adapters, random));
   return known;
 }
 
--- a/bench/measure/run.ts
+++ b/bench/measure/run.ts
@@ -74,7 +74,7 @@
   readonly weights: fakes.Weights;
   readonly engines: fakes.Engine[] = [];
   private readonly gates = new Map<string, { gate: gate.Gate; engine: fakes.Engine }>();
-  private readonly entries: views.Views[] = [];
+  private readonly entries: views.EndpointViews[] = [];
   private readonly intent: intents.Intent;
   private readonly random: () => number;
   private readonly future: ReadonlyMap<string, readonly number[]>;
@@ -112,8 +112,15 @@
     for (const m of listed) this.addEngine(m.name);
     for (let i = 0; i < d.entries; i++) {
       const mems = new members.Members(source, log.silent);
-      const known = new views.Views(
-        { asked: 16, quietMs: 1000, misses: 3, candidates: 6, holders: 8, circuit: CIRCUIT },
+      const known = new views.EndpointViews(
+        {
+          maxPolled: 16,
+          pollAfterMs: 1000,
+          maxMisses: 3,
+          candidates: 6,
+          maxHolders: 8,
+          circuit: CIRCUIT,
+        },
         { clock: this.clk, log: log.silent, members: mems, peer: () => noPeer() },
       );
       this.entries.push(known);
@@ -192,7 +199,7 @@
 
   private askAll(): void {
     for (const known of this.entries) {
-      for (const { gate: g } of this.gates.values()) known.hear(g.news());
+      for (const { gate: g } of this.gates.values()) known.receive(g.news());
     }
     this.clk.after(ASK_MS, () => {
       this.askAll();
@@ -214,7 +221,7 @@
     if (this.p.policy.shared) await this.free();
     const tried = new Set<string>();
     for (let n = 0; n < ATTEMPTS; n++) {
-      if (this.p.policy.fresh) for (const g of this.gates.values()) entry.hear(g.gate.news());
+      if (this.p.policy.fresh) for (const g of this.gates.values()) entry.receive(g.gate.news());
       const key = `${r.adapter}@1`;
       const found = entry.candidates(this.intent, adapter, key, tried);
       const domain = this.p.deployment.failureDomains[r.entry] ?? "";
@@ -227,30 +234,34 @@
     this.record(r, Math.max(waited, 0), undefined);
   }
 
-  private async attempt(r: workload.Request, entry: views.Views, name: string): Promise<boolean> {
+  private async attempt(
+    r: workload.Request,
+    entry: views.EndpointViews,
+    name: string,
+  ): Promise<boolean> {
     const at = this.gates.get(name);
     if (!at) return false;
     const abort = new AbortController();
-    entry.sent(name, abort);
+    entry.attemptStarted(name, abort);
     await this.clk.wait(LINK_MS);
     let seat: gate.Seat;
     try {
       seat = await at.gate.admit(this.attemptFor(r, name), abort.signal);
     } catch (err) {
-      entry.hear(at.gate.news());
-      entry.done(name, abort, err instanceof outcome.StepError);
+      entry.receive(at.gate.news());
+      entry.attemptEnded(name, abort, err instanceof outcome.StepError);
       return false;
     }
     // What was spent at endpoints that refused counts as a stall as well.
     const stall = seat.stallMs === 0 ? 0 : seat.dispatchedAt - r.at;
     await at.engine.generate(r.tokens, () => {
       this.record(r, Math.min(stall, seat.dispatchedAt - r.at), this.clk.mono() - r.at);
-      entry.hear(at.gate.news());
+      entry.receive(at.gate.news());
     });
     seat.end();
     this.release();
-    entry.hear(at.gate.news());
-    entry.done(name, abort, true);
+    entry.receive(at.gate.news());
+    entry.attemptEnded(name, abort, true);
     return true;
   }
 
--- a/src/entry/admission.ts
+++ b/src/entry/admission.ts
@@ -13,7 +13,7 @@
   /** Name of this entry daemon. */
   readonly name: string;
   /** Milliseconds that a caller that reached a concurrency limit is told to wait before a retry. */
-  readonly busyMs: number;
+  readonly retryAfterMs: number;
 }
 
 /** Tracks how much of each grant each caller uses on this host. */
@@ -43,12 +43,12 @@
    * Admits a request, or throws a `StepError` when a limit of the grant is reached. Call the
    * returned function when the request has ended.
    */
-  enter(grant: objects.Grant, caller: objects.Caller): () => void {
+  admit(grant: objects.Grant, caller: objects.Caller): () => void {
     const key = `${grant.metadata.name}/${caller.metadata.name}`;
     const usage = this.usages.get(key) ?? limits.UNUSED;
     const now = this.clk.steady();
     const grantLimits = grant.spec.limits;
-    const verdict = limits.enter(usage, grantLimits, this.position(), now, this.opts.busyMs);
+    const verdict = limits.enter(usage, grantLimits, this.position(), now, this.opts.retryAfterMs);
     if (!verdict.ok) {
       const message = `The ${verdict.what} limit of grant ${grant.metadata.name} is reached.`;
       const { name } = this.opts;
--- a/src/entry/ask.ts
+++ b/src/entry/caller-request.ts
@@ -22,9 +22,9 @@
 } as const;
 
 /** The values of a request's headers, checked. */
-export interface Wishes {
+export interface RequestHeaders {
   /** The caller's API key, from the `Authorization` header. */
-  readonly key: string;
+  readonly apiKey: string;
   /** Milliseconds within which the first byte of the answer must be sent. */
   readonly deadlineMs: number;
   readonly idempotencyKey: string | undefined;
@@ -56,7 +56,7 @@
 }
 
 /** Parses the headers; throws a `StepError` that names the first invalid one. */
-export function wishes(req: http.IncomingMessage, deadlineMs: number): Wishes {
+export function parseHeaders(req: http.IncomingMessage, deadlineMs: number): RequestHeaders {
   const bearer = /^Bearer ([\x21-\x7e]{1,512})$/.exec(singleHeader(req, "authorization") ?? "");
   if (!bearer?.[1]) {
     throw outcome.notRun(
@@ -80,7 +80,7 @@
   if (worth !== undefined && !(Number(worth) > 0))
     throw badRequest(`${HEADER.worth} must be a number greater than 0.`);
   return {
-    key: bearer[1],
+    apiKey: bearer[1],
     deadlineMs: seconds === undefined ? deadlineMs : Number(seconds) * MS_PER_S,
     idempotencyKey: key,
     repeatable: repeat === undefined && key === undefined,
@@ -95,7 +95,10 @@
  * The worth that a request is scheduled by: that of the grant, lowered by the caller's own worth
  * header and halved for each step of urgency below the default. A caller can't raise it.
  */
-export function worthOf(headers: Pick<Wishes, "worth" | "urgency">, grantWorth: number): number {
+export function effectiveWorth(
+  headers: Pick<RequestHeaders, "worth" | "urgency">,
+  grantWorth: number,
+): number {
   const capped = Math.min(grantWorth, headers.worth ?? grantWorth);
   return capped * 2 ** Math.min(0, DEFAULT_URGENCY - headers.urgency);
 }
@@ -115,7 +118,7 @@
 }
 
 /** Parses the body of a request for a model; throws a `StepError` when it is invalid. */
-export function generationOf(body: Buffer): Generation {
+export function parseGeneration(body: Buffer): Generation {
   let json: unknown;
   try {
     json = JSON.parse(body.toString());
--- a/src/entry/daemon.ts
+++ b/src/entry/daemon.ts
@@ -114,7 +114,7 @@
   /** The `ip:port` that other daemons connect to. */
   readonly linkAddress: string;
   readonly parts: daemon.Parts;
-  readonly views: views.Views;
+  readonly views: views.EndpointViews;
   /** Shuts down gracefully: requests in flight are completed first. */
   readonly stop: () => Promise<void>;
   /** Stops at once, as if the process was killed: open connections are broken. */
@@ -152,13 +152,13 @@
   let draining = false;
   let inFlight = 0;
 
-  const endpointViews = new views.Views(
+  const endpointViews = new views.EndpointViews(
     {
-      asked: cfg.asked,
-      quietMs: cfg.askEveryMs,
-      misses: cfg.misses,
+      maxPolled: cfg.asked,
+      pollAfterMs: cfg.askEveryMs,
+      maxMisses: cfg.misses,
       candidates: cfg.candidates,
-      holders: MAX_HOLDERS,
+      maxHolders: MAX_HOLDERS,
       circuit: CIRCUIT,
     },
     { clock: clk, log: parts.logOf("views"), members: parts.members, peer: parts.peer },
@@ -182,10 +182,10 @@
     {
       name: cfg.name,
       deadlineMs: cfg.deadlineMs,
-      requestLimit: cfg.requestLimit,
-      requests: cfg.requests,
-      headersMs: cfg.headersMs,
-      requestMs: cfg.requestMs,
+      maxRequestBytes: cfg.requestLimit,
+      maxInFlight: cfg.requests,
+      headersTimeoutMs: cfg.headersMs,
+      requestTimeoutMs: cfg.requestMs,
       retryAfterMs: cfg.retryAfterMs,
       job: {
         failureDomain: cfg.failureDomain,
@@ -201,9 +201,9 @@
       metrics: parts.metrics,
       intent: () => parts.feed.intent(),
       ready: () => parts.feed.ready(),
-      leaving: () => draining,
+      isDraining: () => draining,
       admission: new admission.Admission(
-        { name: cfg.name, busyMs: cfg.retryAfterMs },
+        { name: cfg.name, retryAfterMs: cfg.retryAfterMs },
         clk,
         parts.members,
       ),
@@ -219,9 +219,9 @@
         members: parts.members,
         peer: parts.peer,
         dispatcher,
-        retry: retries.take,
+        takeRetry: retries.takeRetry,
       },
-      letIn: retries.request,
+      onAdmitted: retries.recordRequest,
     },
   );
   callerServer.on("request", (_req, res: http.ServerResponse) => {
@@ -274,7 +274,7 @@
       clk,
       cfg.askEveryMs,
       stopController.signal,
-      () => endpointViews.ask(),
+      () => endpointViews.poll(),
       (err) => {
         lg.error(`Polling endpoints failed: ${errors.messageOf(err)}`);
       },
--- a/src/entry/explain.ts
+++ b/src/entry/explain.ts
@@ -13,7 +13,7 @@
 /** State that the explanation is based on. */
 export interface Deps {
   readonly intent: intents.Intent;
-  readonly views: views.Views;
+  readonly views: views.EndpointViews;
   /** Monotonic ms. */
   readonly now: number;
   readonly failureDomain: string;
@@ -38,7 +38,7 @@
     path: "",
     stream: false,
   } as const;
-  const key = job.keyOf(work);
+  const key = job.targetKey(work);
   const candidates = d.views.candidates(d.intent, adapter, key, new Set());
   const best = route.choose(candidates, key, d.failureDomain, d.route, d.random);
   return [
--- a/src/entry/job.ts
+++ b/src/entry/job.ts
@@ -38,16 +38,16 @@
   readonly clock: clock.Clock;
   readonly log: log.Log;
   readonly random: () => number;
-  readonly views: views.Views;
+  readonly views: views.EndpointViews;
   readonly members: members.Members;
   readonly peer: (m: hosts.Member) => control.Peer;
   readonly dispatcher: undici.Dispatcher;
   /** Takes the cost of a retry from the retry budget; false when the budget is used up. */
-  readonly retry: (cost: number) => boolean;
+  readonly takeRetry: (cost: number) => boolean;
 }
 
 /** A request that was admitted. */
-export interface Job {
+export interface AdmittedRequest {
   readonly id: string;
   readonly intent: intents.Intent;
   readonly target: objects.Adapter | objects.Of<"Service">;
@@ -55,33 +55,33 @@
   readonly caller: objects.Caller;
   readonly worth: number;
   /** Requests of this caller that may wait at one endpoint at once. */
-  readonly queue: number;
+  readonly maxQueue: number;
   readonly repeatable: boolean;
   /** Deadline of the first byte of the answer, in monotonic ms. */
-  readonly dueAt: number;
+  readonly deadlineAt: number;
   readonly headers: Readonly<Record<string, string | string[]>>;
   /** A stream can be read only once, so a request with one is never retried. */
   readonly body: Buffer | stream.Readable;
   /** Aborts when the caller disconnects. */
-  readonly gone: AbortSignal;
+  readonly disconnected: AbortSignal;
 }
 
 /** An answer whose headers have arrived. */
-export interface Begun {
+export interface BegunAnswer {
   readonly endpoint: string;
   readonly attempts: number;
   readonly res: undici.Dispatcher.ResponseData;
   /** Records that the endpoint is alive; call it whenever bytes of the body arrive. */
-  readonly alive: () => void;
+  readonly recordBytes: () => void;
   /** Ends the attempt; `whole` tells whether the body was received completely. */
-  readonly done: (whole: boolean) => void;
+  readonly end: (whole: boolean) => void;
 }
 
 /**
  * The key that identifies an adapter and version, or a service, on the ring and in reports of
  * endpoints.
  */
-export function keyOf(work: wire.Attempt["work"]): string {
+export function targetKey(work: wire.Attempt["work"]): string {
   return work.kind === "model" ? `${work.adapter}@${work.version}` : work.service;
 }
 
@@ -99,13 +99,13 @@
  * Sends attempts until one answers. Throws a `StepError` when none does; its outcome follows from
  * the trail of attempts.
  */
-export async function run(job: Job, opts: Options, deps: Deps): Promise<Begun> {
+export async function run(job: AdmittedRequest, opts: Options, deps: Deps): Promise<BegunAnswer> {
   let trailState = trail.start(job.repeatable);
   const tried = new Set<string>();
   let lastFailure: outcome.Failure | undefined;
   for (let n = 1; n <= opts.attempts; n++) {
     if (n > 1 && !mayRetry(job, trailState, deps)) break;
-    const remainingMs = job.dueAt - deps.clock.mono();
+    const remainingMs = job.deadlineAt - deps.clock.mono();
     if (remainingMs <= 0) {
       lastFailure = {
         ...notRunFailure("deadline", "route", "The deadline passed."),
@@ -142,7 +142,7 @@
         lastFailure = result.failure;
         break;
     }
-    if (job.gone.aborted) break;
+    if (job.disconnected.aborted) break;
   }
   throw finalError(trailState, lastFailure, opts);
 }
@@ -152,10 +152,10 @@
  * refusal is cheap, while one after an attempt that ran or may have run costs a full token, as the
  * work may run twice.
  */
-function mayRetry(job: Job, trailState: trail.Trail, deps: Deps): boolean {
+function mayRetry(job: AdmittedRequest, trailState: trail.Trail, deps: Deps): boolean {
   if (!trail.maySend(trailState) || !Buffer.isBuffer(job.body)) return false;
   const ran = trailState.context.doubts + trailState.context.spoiled > 0;
-  return deps.retry(ran ? 1 : REFUSED_RETRY_COST);
+  return deps.takeRetry(ran ? 1 : REFUSED_RETRY_COST);
 }
 
 /**
@@ -189,12 +189,12 @@
 }
 
 function choose(
-  job: Job,
+  job: AdmittedRequest,
   opts: Options,
   deps: Deps,
   tried: ReadonlySet<string>,
 ): Destination | undefined {
-  const key = keyOf(job.work);
+  const key = targetKey(job.work);
   const candidates = deps.views.candidates(job.intent, job.target, key, tried);
   const best = route.choose(candidates, key, opts.failureDomain, opts.route, deps.random);
   const v = best?.view;
@@ -203,13 +203,13 @@
 
 /** How an attempt went; `broke` means that it is unknown whether it ran. */
 type AttemptResult =
-  | { readonly kind: "begun"; readonly begun: Begun }
+  | { readonly kind: "begun"; readonly begun: BegunAnswer }
   | { readonly kind: "refused"; readonly failure: outcome.Failure }
   | { readonly kind: "failed"; readonly failure: outcome.Failure }
   | { readonly kind: "broke"; readonly failure: outcome.Failure; readonly attempt: string };
 
 async function send(
-  job: Job,
+  job: AdmittedRequest,
   to: Destination,
   budgetMs: number,
   opts: Options,
@@ -222,7 +222,7 @@
     caller: job.caller.metadata.name,
     class: job.caller.spec.class,
     worth: job.worth,
-    queue: job.queue,
+    queue: job.maxQueue,
     budgetMs,
     revision: job.intent.revision,
     repeatable: job.repeatable,
@@ -234,11 +234,11 @@
   const onDisconnect = (): void => {
     abort.abort();
   };
-  job.gone.addEventListener("abort", onDisconnect, { once: true });
-  deps.views.sent(to.name, abort);
+  job.disconnected.addEventListener("abort", onDisconnect, { once: true });
+  deps.views.attemptStarted(to.name, abort);
   const endAttempt = (good: boolean): void => {
-    job.gone.removeEventListener("abort", onDisconnect);
-    deps.views.done(to.name, abort, good || job.gone.aborted);
+    job.disconnected.removeEventListener("abort", onDisconnect);
+    deps.views.attemptEnded(to.name, abort, good || job.disconnected.aborted);
   };
   try {
     const res = await deps.dispatcher.request({
@@ -257,9 +257,15 @@
     if (res.headers[wire.HEADER.attempt] === attempt.id) {
       if (res.headers[wire.HEADER.outcome] === "ran") {
         const recordBytes = (): void => {
-          deps.views.alive(to.name);
+          deps.views.recordBytes(to.name);
+        };
+        const begun = {
+          endpoint: to.name,
+          attempts,
+          res,
+          recordBytes: recordBytes,
+          end: endAttempt,
         };
-        const begun = { endpoint: to.name, attempts, res, alive: recordBytes, done: endAttempt };
         return { kind: "begun", begun };
       }
     }
@@ -287,7 +293,7 @@
 
 function receiveReport(res: undici.Dispatcher.ResponseData, deps: Deps): void {
   try {
-    deps.views.hear(wire.decode(wire.news, res.headers[wire.HEADER.news]));
+    deps.views.receive(wire.decode(wire.news, res.headers[wire.HEADER.news]));
   } catch (err) {
     deps.log.debug(
       `An answer has no valid report of its endpoint's state: ${errors.messageOf(err)}`,
@@ -333,12 +339,12 @@
   let bucket = budget.full(minPerSecond, minPerSecond, clk.steady());
   return {
     /** Adds the share of one admitted request to the budget. */
-    request: (): void => {
+    recordRequest: (): void => {
       const filled = budget.fill(bucket, clk.steady());
       bucket = { ...filled, tokens: Math.min(filled.size * 2, filled.tokens + share) };
     },
     /** Takes `cost` tokens; false when the budget holds fewer. */
-    take: (cost: number): boolean => {
+    takeRetry: (cost: number): boolean => {
       const taken = budget.take(bucket, clk.steady(), cost);
       if (taken.ok) bucket = taken.bucket;
       return taken.ok;
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -19,7 +19,7 @@
 import type * as claims from "../request/claims.js";
 import * as outcome from "../request/outcome.js";
 import * as admission from "./admission.js";
-import * as ask from "./ask.js";
+import * as callerRequest from "./caller-request.js";
 import * as job from "./job.js";
 
 /** Settings of the callers' server. */
@@ -29,13 +29,13 @@
   /** Deadline of the first byte for requests that set none, in ms. */
   readonly deadlineMs: number;
   /** Largest request for a model, in bytes. */
-  readonly requestLimit: number;
+  readonly maxRequestBytes: number;
   /** Largest number of requests in flight on this host; bounds its memory. */
-  readonly requests: number;
+  readonly maxInFlight: number;
   /** Timeout for receiving the headers of a request, in ms. */
-  readonly headersMs: number;
+  readonly headersTimeoutMs: number;
   /** Timeout for receiving a whole request, in ms. */
-  readonly requestMs: number;
+  readonly requestTimeoutMs: number;
   /** Milliseconds that a caller is told to wait before a retry when the host is full. */
   readonly retryAfterMs: number;
   readonly job: job.Options;
@@ -49,12 +49,12 @@
   /** Whether the intent has been received. */
   readonly ready: () => boolean;
   /** Whether this daemon is shutting down. */
-  readonly leaving: () => boolean;
+  readonly isDraining: () => boolean;
   readonly admission: admission.Admission;
   readonly claims: claims.Claims;
   readonly job: job.Deps;
   /** Called for each admitted request; adds to the retry budget. */
-  readonly letIn: () => void;
+  readonly onAdmitted: () => void;
 }
 
 const MODEL_PATHS = new Set(["/v1/completions", "/v1/chat/completions"]);
@@ -72,15 +72,15 @@
   let inFlight = 0;
   const server = http.createServer(
     {
-      headersTimeout: opts.headersMs,
-      requestTimeout: opts.requestMs,
+      headersTimeout: opts.headersTimeoutMs,
+      requestTimeout: opts.requestTimeoutMs,
       // Node.js checks connections for timeouts every 30 s by default.
-      connectionsCheckingInterval: Math.max(1, opts.headersMs / 2),
+      connectionsCheckingInterval: Math.max(1, opts.headersTimeoutMs / 2),
       maxHeaderSize: MAX_HEADER_BYTES,
       requireHostHeader: true,
     },
     (req, res) => {
-      if (deps.leaving()) res.setHeader("connection", "close");
+      if (deps.isDraining()) res.setHeader("connection", "close");
       inFlight++;
       res.on("close", () => {
         inFlight--;
@@ -110,7 +110,7 @@
       sendJson(res, 200, { status: "ok" });
       return;
     case "/readyz": {
-      const ready = deps.ready() && !deps.leaving();
+      const ready = deps.ready() && !deps.isDraining();
       sendJson(res, ready ? 200 : 503, { status: ready ? "ready" : "not ready" });
       return;
     }
@@ -118,11 +118,11 @@
   const peer = req.socket.remoteAddress ?? "gone";
   try {
     const intent = deps.intent();
-    const headers = ask.wishes(req, opts.deadlineMs);
-    const caller = intents.callerOf(intent, keys.sha256(headers.key));
+    const headers = callerRequest.parseHeaders(req, opts.deadlineMs);
+    const caller = intents.callerOf(intent, keys.sha256(headers.apiKey));
     if (!caller)
       throw outcome.notRun("unauthorized", "authenticate", peer, "The API key is unknown.");
-    if (inFlight > opts.requests) {
+    if (inFlight > opts.maxInFlight) {
       throw outcome.notRun(
         "overloaded",
         "admit",
@@ -198,7 +198,7 @@
   readonly id: string;
   readonly peer: string;
   readonly intent: intents.Intent;
-  readonly headers: ask.Wishes;
+  readonly headers: callerRequest.RequestHeaders;
   readonly caller: objects.Caller;
   readonly url: RequestTarget;
 }
@@ -213,8 +213,8 @@
   if (req.method !== "POST") {
     throw outcome.notRun("not_found", "read", a.peer, `${a.url.pathname} accepts only POST.`);
   }
-  const text = await body.read(req, opts.requestLimit, a.peer);
-  const generation = ask.generationOf(text);
+  const text = await body.read(req, opts.maxRequestBytes, a.peer);
+  const generation = callerRequest.parseGeneration(text);
   const found = intents.resolve(a.intent, generation.model);
   const grant = found && intents.grantFor(a.intent, a.caller, found.adapter);
   // Without a grant the answer is the same, so that a caller can't find out whether the adapter
@@ -275,7 +275,7 @@
 
 /** What to run for an authenticated request, and the grant that allows it. */
 interface PreparedRequest extends Pick<
-  job.Job,
+  job.AdmittedRequest,
   "target" | "work" | "repeatable" | "headers" | "body"
 > {
   readonly grant: objects.Grant;
@@ -299,8 +299,8 @@
   let release: (() => void) | undefined;
   let claim: claims.Claim | undefined;
   try {
-    release = deps.admission.enter(w.grant, a.caller);
-    deps.letIn();
+    release = deps.admission.admit(w.grant, a.caller);
+    deps.onAdmitted();
     const key = a.headers.idempotencyKey;
     if (key !== undefined) claim = await deps.claims.make(a.caller.metadata.name, key, a.id);
     const limits = w.grant.spec.limits;
@@ -311,13 +311,13 @@
         target: w.target,
         work: w.work,
         caller: a.caller,
-        worth: ask.worthOf(a.headers, limits.worth ?? 1),
-        queue: limits.queue ?? Number.MAX_SAFE_INTEGER,
+        worth: callerRequest.effectiveWorth(a.headers, limits.worth ?? 1),
+        maxQueue: limits.queue ?? Number.MAX_SAFE_INTEGER,
         repeatable: w.repeatable,
-        dueAt: startedAt + a.headers.deadlineMs,
+        deadlineAt: startedAt + a.headers.deadlineMs,
         headers: w.headers,
         body: w.body,
-        gone: disconnect.signal,
+        disconnected: disconnect.signal,
       },
       opts.job,
       deps.job,
@@ -348,7 +348,7 @@
 async function forwardAnswer(
   deps: Deps,
   work: wire.Attempt["work"],
-  begun: job.Begun,
+  begun: job.BegunAnswer,
   res: http.ServerResponse,
   onBytes: (at: number) => void,
 ): Promise<void> {
@@ -359,15 +359,15 @@
   }
   res.writeHead(begun.res.statusCode, { ...headers, "sumacfield-attempts": begun.attempts });
   begun.res.body.on("data", () => {
-    begun.alive();
+    begun.recordBytes();
     onBytes(deps.clock.mono());
   });
   try {
     await pump.pump(begun.res.body, res);
     res.end();
-    begun.done(true);
+    begun.end(true);
   } catch (err) {
-    begun.done(false);
+    begun.end(false);
     const message = `The answer was interrupted: ${errors.messageOf(err)}.`;
     const code = "link_broken";
     const f: outcome.Failure = {
--- a/src/entry/views.ts
+++ b/src/entry/views.ts
@@ -21,19 +21,19 @@
 /** Settings of polling, of the choice of candidates, and of circuit breakers. */
 export interface Options {
   /** Endpoints polled at a time; bounds the cost of polling however many endpoints there are. */
-  readonly asked: number;
+  readonly maxPolled: number;
   /**
    * Milliseconds without a byte from an endpoint with attempts in flight after which it is polled.
    */
-  readonly quietMs: number;
+  readonly pollAfterMs: number;
   /** Failed polls in a row after which an endpoint counts as not responding. */
-  readonly misses: number;
+  readonly maxMisses: number;
   /** Endpoints taken from the ring as candidates for one request. */
   readonly candidates: number;
   /**
    * Largest number of further candidates that hold the adapter but were not taken from the ring.
    */
-  readonly holders: number;
+  readonly maxHolders: number;
   readonly circuit: circuit.Options;
 }
 
@@ -51,7 +51,7 @@
 const MAX_CACHED_RINGS = 256;
 
 /** Holds the view of each listed endpoint and the attempts in flight there. */
-export class Views {
+export class EndpointViews {
   private readonly views = new Map<string, view.View>();
   /** Names of the endpoints that hold each target, by their last reports. */
   private readonly holders = new Map<string, Set<string>>();
@@ -125,7 +125,7 @@
   }
 
   /** Applies a report from an endpoint, whichever way it arrived. */
-  hear(news: wire.News): void {
+  receive(news: wire.News): void {
     const v = this.views.get(news.endpoint);
     if (v) this.set(view.hear(v, news, this.deps.clock.mono()));
   }
@@ -134,7 +134,7 @@
    * Records an attempt that is sent to `name`; `abort` is aborted when the endpoint stops
    * responding.
    */
-  sent(name: string, abort: AbortController): void {
+  attemptStarted(name: string, abort: AbortController): void {
     const v = this.views.get(name);
     if (!v) return;
     const set = this.inFlight.get(name);
@@ -145,7 +145,7 @@
   }
 
   /** Records the end of an attempt; `good` tells whether the endpoint behaved correctly. */
-  done(name: string, abort: AbortController, good: boolean): void {
+  attemptEnded(name: string, abort: AbortController, good: boolean): void {
     this.inFlight.get(name)?.delete(abort);
     const v = this.views.get(name);
     if (!v) return;
@@ -181,7 +181,7 @@
       }
       let extra = 0;
       for (const name of this.holders.get(key) ?? []) {
-        if (found.has(name) || extra >= this.opts.holders) continue;
+        if (found.has(name) || extra >= this.opts.maxHolders) continue;
         const e = intents.find(intent, "Endpoint", name);
         if (!e || !allowed.includes(e)) continue;
         extra++;
@@ -225,7 +225,7 @@
   }
 
   /** Records that bytes of an answer arrived from `name`, so it is alive and need not be polled. */
-  alive(name: string): void {
+  recordBytes(name: string): void {
     this.lastBytesAt.set(name, this.deps.clock.mono());
     this.missedPolls.delete(name);
   }
@@ -244,19 +244,22 @@
    * then those with attempts in flight that have sent nothing for the longest time, then the next
    * in rotation.
    */
-  async ask(): Promise<void> {
+  async poll(): Promise<void> {
     const all = this.deps.members.all().filter((m) => m.role === "endpoint");
     const unanswered = all.filter((m) => {
       const misses = this.missedPolls.get(m.name) ?? 0;
-      return misses > 0 && misses < this.opts.misses;
+      return misses > 0 && misses < this.opts.maxMisses;
     });
     const quiet = all
-      .filter((m) => this.hasInFlight(m.name) && this.quietMs(m.name) >= this.opts.quietMs)
+      .filter((m) => this.hasInFlight(m.name) && this.quietMs(m.name) >= this.opts.pollAfterMs)
       .sort((a, b) => this.quietMs(b.name) - this.quietMs(a.name));
     const rotation = all
       .map((_, i) => all[(this.nextIndex + i) % all.length])
       .filter((m) => m !== undefined);
-    const chosen = [...new Set([...unanswered, ...quiet, ...rotation])].slice(0, this.opts.asked);
+    const chosen = [...new Set([...unanswered, ...quiet, ...rotation])].slice(
+      0,
+      this.opts.maxPolled,
+    );
     this.nextIndex += Math.max(1, chosen.length - unanswered.length - quiet.length);
     await Promise.all(chosen.map((m) => this.pollOne(m)));
   }
@@ -269,11 +272,11 @@
     try {
       const news = await this.deps.peer(m).news.query();
       this.missedPolls.delete(m.name);
-      if (news) this.hear(news);
+      if (news) this.receive(news);
     } catch (err) {
       const misses = (this.missedPolls.get(m.name) ?? 0) + 1;
       this.missedPolls.set(m.name, misses);
-      if (misses >= this.opts.misses) this.markSilent(m.name, err);
+      if (misses >= this.opts.maxMisses) this.markSilent(m.name, err);
     }
   }
 
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -24,9 +24,9 @@
       it(pickle.name, async () => {
         const w = new world.World();
         try {
-          for (const s of pickle.steps) await world.perform(w, s.text);
+          for (const s of pickle.steps) await world.runStep(w, s.text);
         } finally {
-          await w.site?.stop();
+          await w.startedSite?.stop();
         }
       });
     }
--- a/test/steps/failures.ts
+++ b/test/steps/failures.ts
@@ -7,13 +7,13 @@
 const { expect } = chai;
 
 function endpointAt(w: world.World, n: number): endpoint.Running {
-  const e = w.at.endpoints[n - 1];
+  const e = w.site.endpoints[n - 1];
   if (!e) throw new Error(`there is no endpoint daemon ${n}`);
   return e;
 }
 
 function engineAt(w: world.World, n: number) {
-  const e = w.at.engines[n - 1]?.engine;
+  const e = w.site.engines[n - 1]?.engine;
   if (!e) throw new Error(`there is no engine ${n}`);
   return e;
 }
@@ -22,70 +22,70 @@
 
 /** The number, from 1, of an engine that is running a request. */
 function busyEngineNumber(w: world.World): number {
-  const index = w.at.endpoints.findIndex((e) => (e.gate()?.news().running ?? 0) > 0);
+  const index = w.site.endpoints.findIndex((e) => (e.gate()?.news().running ?? 0) > 0);
   if (index < 0) throw new Error("no engine runs anything");
   return index + 1;
 }
 
 /** Waits until a request is waiting at an endpoint daemon, and returns that daemon's number, from 1. */
 async function waitingEndpointNumber(w: world.World): Promise<number> {
-  const find = (): number => w.at.endpoints.findIndex((e) => (e.gate()?.news().waiting ?? 0) > 0);
+  const find = (): number => w.site.endpoints.findIndex((e) => (e.gate()?.news().waiting ?? 0) > 0);
   await site.until(() => find() >= 0);
   return find() + 1;
 }
 
 // The store.
 world.step("the store is down", (w) => {
-  w.at.store.store.faults.down = true;
-  w.at.store.store.cutWatches();
+  w.site.store.store.faults.down = true;
+  w.site.store.store.cutWatches();
 });
 world.step("the store is back", (w) => {
-  w.at.store.store.faults.down = false;
+  w.site.store.store.faults.down = false;
 });
 world.step("the store takes {int} ms for each call", (w, ms: number) => {
-  w.at.store.store.faults.delayMs = ms;
+  w.site.store.store.faults.delayMs = ms;
 });
 world.step("the store loses the reply to the next {int} write(s)", (w, n: number) => {
-  w.at.store.store.faults.loseReplies = n;
+  w.site.store.store.faults.loseReplies = n;
 });
 world.step("the store is backed up", (w) => {
-  w.notes.set("backup", w.at.store.store.backup());
+  w.notes.set("backup", w.site.store.store.backup());
 });
 world.step("the store is restored from the backup", (w) => {
-  w.at.store.store.restore(w.notes.get("backup") as ReturnType<typeof w.at.store.store.backup>);
+  w.site.store.store.restore(w.notes.get("backup") as ReturnType<typeof w.site.store.store.backup>);
 });
 
 // Engines.
 world.step("every engine answers the next request for another model", (w) => {
-  for (const e of w.at.engines) e.engine.faults.wrongModels = 1;
+  for (const e of w.site.engines) e.engine.faults.wrongModels = 1;
 });
 world.step("engine {int} answers the next request for another model", (w, n: number) => {
   engineAt(w, n).faults.wrongModels = 1;
 });
 world.step("every engine answers the next request with another request's id", (w) => {
-  for (const e of w.at.engines) e.engine.faults.wrongIds = 1;
+  for (const e of w.site.engines) e.engine.faults.wrongIds = 1;
 });
 world.step("the engine that runs it breaks its answer off half-way", (w) => {
-  for (const e of w.at.engines) e.engine.faults.breakAnswers = 0;
+  for (const e of w.site.engines) e.engine.faults.breakAnswers = 0;
   engineAt(w, busyEngineNumber(w)).restart();
 });
 world.step("every engine breaks its next answer off half-way", (w) => {
-  for (const e of w.at.engines) e.engine.faults.breakAnswers = 1;
+  for (const e of w.site.engines) e.engine.faults.breakAnswers = 1;
 });
 world.step("every engine restarts cold", (w) => {
-  for (const e of w.at.engines) e.engine.restart();
+  for (const e of w.site.engines) e.engine.restart();
 });
 world.step("the engine that runs it restarts cold", (w) => {
   engineAt(w, busyEngineNumber(w)).restart();
 });
 world.step("every engine refuses loads", (w) => {
-  for (const e of w.at.engines) e.engine.faults.refuseLoads = true;
+  for (const e of w.site.engines) e.engine.faults.refuseLoads = true;
 });
 world.step("engine {int} refuses loads", (w, n: number) => {
   engineAt(w, n).faults.refuseLoads = true;
 });
 world.step("every engine loses the reply to its next order", (w) => {
-  for (const e of w.at.engines) e.engine.faults.loseReplies = 1;
+  for (const e of w.site.engines) e.engine.faults.loseReplies = 1;
 });
 world.step(
   "engine {int} loses the reply to its next order, which takes effect {int} ms late",
@@ -104,16 +104,16 @@
   engineAt(w, n).forgetAll();
 });
 world.step("the weight store refuses loads", (w) => {
-  w.at.weights.weights.faults.refuse = true;
+  w.site.weights.weights.faults.refuse = true;
 });
 world.step("the weight store is back", (w) => {
-  w.at.weights.weights.faults.refuse = false;
+  w.site.weights.weights.faults.refuse = false;
 });
 world.step("the weight store is {int} times slower", (w, n: number) => {
-  w.at.weights.weights.faults.slow = n;
+  w.site.weights.weights.faults.slow = n;
 });
 world.step("the service loses the reply to its next call", (w) => {
-  if (w.at.services) w.at.services.service.loseReplies = 1;
+  if (w.site.services) w.site.services.service.loseReplies = 1;
 });
 
 // Daemons and links.
@@ -127,14 +127,14 @@
   await waitingEndpointNumber(w);
 });
 world.step("entry host {int} is killed", (w, n: number) => {
-  w.at.entries[n - 1]?.kill();
+  w.site.entries[n - 1]?.kill();
 });
 world.step("endpoint daemon {int} is killed", (w, n: number) => {
   endpointAt(w, n).kill();
 });
 world.step("endpoint daemon {int} is started again", async (w, n: number) => {
-  await w.at.addEndpoint(n - 1);
-  await w.at.settle();
+  await w.site.addEndpoint(n - 1);
+  await w.site.settle();
 });
 world.step("endpoint daemon {int} is stopped gracefully", async (w, n: number) => {
   await endpointAt(w, n).stop();
@@ -146,26 +146,26 @@
   w.notes.set("stopping", endpointAt(w, busyEngineNumber(w)).stop());
 });
 world.step("entry host {int} begins to stop", (w, n: number) => {
-  w.notes.set("stopping", w.at.entries[n - 1]?.stop());
+  w.notes.set("stopping", w.site.entries[n - 1]?.stop());
 });
 world.step("it stops", async (w) => {
   await (w.notes.get("stopping") as Promise<void>);
 });
 world.step("the list of hosts says that endpoint daemon {int} is leaving", (w, n: number) => {
-  w.at.listEndpoint(`engine-${n - 1}`, endpointAt(w, n), w.at.domainOf(n - 1), true);
+  w.site.listEndpoint(`engine-${n - 1}`, endpointAt(w, n), w.site.domainOf(n - 1), true);
 });
 world.step("the list of hosts is down", (w) => {
-  w.at.list.hosts.down = true;
+  w.site.list.hosts.down = true;
 });
 world.step("the list of hosts lags by {int} ms", (w, ms: number) => {
-  w.at.list.hosts.lagMs = ms;
+  w.site.list.hosts.lagMs = ms;
 });
 world.step("{int} ms pass", (_w, ms: number) => pause(ms));
 
 /** Sends `times` concurrent requests for each adapter. */
 function askAll(w: world.World, times: number): Promise<readonly site.Answer[]> {
   const models = Array.from({ length: times }, () => site.ADAPTERS).flat();
-  return Promise.all(models.map((m) => w.at.ask(m)));
+  return Promise.all(models.map((m) => w.site.ask(m)));
 }
 
 const runCount = (w: world.World, n: number): number =>
@@ -184,7 +184,7 @@
 });
 
 world.step("every engine is out", (w) => {
-  for (const e of w.at.engines) e.engine.down = true;
+  for (const e of w.site.engines) e.engine.down = true;
 });
 
 world.step("the endpoint daemon where they wait begins to stop", async (w) => {
--- a/test/steps/given.ts
+++ b/test/steps/given.ts
@@ -3,7 +3,7 @@
 import * as world from "./world.js";
 
 async function start(w: world.World, plan: site.Plan): Promise<void> {
-  w.site = await site.Site.start(plan);
+  w.startedSite = await site.Site.start(plan);
 }
 
 world.step("a site with {int} engine(s)", (w, engines: number) => start(w, { engines }));
--- a/test/steps/intent.ts
+++ b/test/steps/intent.ts
@@ -9,17 +9,17 @@
 const { expect } = chai;
 
 function adapter(w: world.World, name: string, current: string): objects.Obj {
-  return site.adapter(name, w.at.weights.url, ["1", "2"], current);
+  return site.adapter(name, w.site.weights.url, ["1", "2"], current);
 }
 
 function newestIntent(w: world.World): intents.Intent {
-  const all = [...w.at.entries, ...w.at.endpoints].map((d) => d.parts.feed.intent());
+  const all = [...w.site.entries, ...w.site.endpoints].map((d) => d.parts.feed.intent());
   return all.reduce((a, b) => (b.revision > a.revision ? b : a));
 }
 
 async function apply(w: world.World, puts: readonly objects.Obj[], waitMs = 3000): Promise<void> {
   const wish = { puts, deletes: [] };
-  w.notes.set("applied", await change.apply(wish, w.at.operator(waitMs)));
+  w.notes.set("applied", await change.apply(wish, w.site.operator(waitMs)));
 }
 
 function applied(w: world.World): change.Applied {
@@ -39,7 +39,7 @@
 
 world.step("an operator revokes the grant {word}", async (w, name: string) => {
   const wish = { puts: [], deletes: [`Grant/${name}`] };
-  w.notes.set("applied", await change.apply(wish, w.at.operator()));
+  w.notes.set("applied", await change.apply(wish, w.site.operator()));
 });
 
 world.step("an operator declares {int} adapters at once", (w, n: number) =>
@@ -53,8 +53,8 @@
   const done = await Promise.all(
     ["1", "2"].map((v) => {
       const labels = { by: `operator-${v}` };
-      const one = site.adapter(name, w.at.weights.url, ["1", "2"], "2", labels);
-      return change.apply({ puts: [one], deletes: [] }, w.at.operator(3000, `operator-${v}`));
+      const one = site.adapter(name, w.site.weights.url, ["1", "2"], "2", labels);
+      return change.apply({ puts: [one], deletes: [] }, w.site.operator(3000, `operator-${v}`));
     }),
   );
   w.notes.set("both", done);
@@ -63,7 +63,7 @@
 world.step("two operators declare different adapters at once", async (w) => {
   const done = await Promise.all(
     ["left", "right"].map((name) =>
-      change.apply({ puts: [adapter(w, name, "1")], deletes: [] }, w.at.operator()),
+      change.apply({ puts: [adapter(w, name, "1")], deletes: [] }, w.site.operator()),
     ),
   );
   w.notes.set("both", done);
@@ -103,12 +103,12 @@
 });
 
 world.step("the operator restores the store", async (w) => {
-  await change.restore(w.at.operator());
+  await change.restore(w.site.operator());
 });
 
 world.step("{word} is at version {word} at every daemon", async (w, name: string, v: string) => {
   await site.until(() =>
-    [...w.at.entries, ...w.at.endpoints].every(
+    [...w.site.entries, ...w.site.endpoints].every(
       (d) => intents.find(d.parts.feed.intent(), "Adapter", name)?.spec.current === v,
     ),
   );
@@ -116,7 +116,7 @@
 
 world.step("no daemon has gone back", (w) => {
   const before = Number(w.notes.get("revision"));
-  for (const d of [...w.at.entries, ...w.at.endpoints]) {
+  for (const d of [...w.site.entries, ...w.site.endpoints]) {
     expect(d.parts.feed.intent().revision).least(before);
   }
 });
@@ -129,7 +129,7 @@
   "only endpoint daemon {int} hears of {word} at version {word}",
   (w, n: number, name: string, v: string) => {
     const base = newestIntent(w);
-    const feed = w.at.endpoints[n - 1]?.parts.feed;
+    const feed = w.site.endpoints[n - 1]?.parts.feed;
     feed?.learn({
       kind: "changes",
       changes: [
@@ -148,5 +148,5 @@
 );
 
 world.step("endpoint daemon {int} has the intent", (w, n: number) =>
-  site.until(() => (w.at.endpoints[n - 1]?.parts.feed.intent().revision ?? 0) > 0),
+  site.until(() => (w.site.endpoints[n - 1]?.parts.feed.intent().revision ?? 0) > 0),
 );
--- a/test/steps/orders.ts
+++ b/test/steps/orders.ts
@@ -50,9 +50,9 @@
 }
 
 world.step("an entry daemon gives up an attempt that arrives later", async (w) => {
-  const to = w.at.endpoints[0];
+  const to = w.site.endpoints[0];
   if (!to) throw new Error("there is no endpoint daemon");
-  const peer = w.at.operator().peer({
+  const peer = w.site.operator().peer({
     name: to.parts.cfg.name,
     role: "endpoint",
     failureDomain: "",
@@ -72,7 +72,7 @@
 world.step(
   "a second endpoint daemon is started on engine {int} by mistake",
   async (w, n: number) => {
-    w.notes.set("second", await w.at.addEndpoint(n - 1, true));
+    w.notes.set("second", await w.site.addEndpoint(n - 1, true));
   },
 );
 
@@ -98,7 +98,7 @@
 function createHolder(w: world.World, epoch: string): lease.Holder {
   return new lease.Holder(
     { endpoint: "engine-by-hand", epoch, ttlMs: TTL_MS },
-    { clock: clock.system, log: log.silent, store: w.at.operator().store },
+    { clock: clock.system, log: log.silent, store: w.site.operator().store },
   );
 }
 
@@ -106,7 +106,7 @@
   const first = createHolder(w, "first");
   await first.step();
   w.notes.set("first", first);
-  w.notes.set("engine", w.at.engines[n - 1]?.url);
+  w.notes.set("engine", w.site.engines[n - 1]?.url);
   await site.until(() => first.state() === "lapsed");
 });
 
--- a/test/steps/requests.ts
+++ b/test/steps/requests.ts
@@ -11,14 +11,14 @@
   model: string,
   opts: Parameters<site.Site["ask"]>[1] & { readonly prompt: string },
 ): void {
-  const n = w.asked.push(w.at.ask(model, opts));
+  const n = w.pendingAnswers.push(w.site.ask(model, opts));
   w.notes.set(`model of ${n}`, model);
   w.notes.set(`prompt of ${n}`, opts.prompt);
   w.notes.set(`tokens of ${n}`, opts.tokens);
 }
 
 /** A prompt unlike those of the scenario's earlier requests. */
-const nextPrompt = (w: world.World): string => `prompt ${w.asked.length}`;
+const nextPrompt = (w: world.World): string => `prompt ${w.pendingAnswers.length}`;
 
 world.step("a caller asks {word} for {int} tokens", (w, model: string, tokens: number) => {
   sendRequest(w, model, { tokens, prompt: nextPrompt(w) });
@@ -61,20 +61,20 @@
   "{int} callers ask {word} for {int} tokens each",
   (w, n: number, model: string, tokens: number) => {
     for (let i = 0; i < n; i++)
-      sendRequest(w, model, { tokens, prompt: nextPrompt(w), at: i % w.at.entries.length });
+      sendRequest(w, model, { tokens, prompt: nextPrompt(w), at: i % w.site.entries.length });
   },
 );
 
 world.step("a caller confirms cutover {string}", (w, cutover: string) => {
-  w.asked.push(w.at.call("POST", "/services/cutover/confirm", cutover));
+  w.pendingAnswers.push(w.site.call("POST", "/services/cutover/confirm", cutover));
 });
 
 world.step(
   "a caller confirms cutover {string} with the key {string} through entry host {int}",
   (w, cutover: string, key: string, entryHost: number) => {
     const headers = { "idempotency-key": key };
-    w.asked.push(
-      w.at.call("POST", "/services/cutover/confirm", cutover, { headers, at: entryHost - 1 }),
+    w.pendingAnswers.push(
+      w.site.call("POST", "/services/cutover/confirm", cutover, { headers, at: entryHost - 1 }),
     );
   },
 );
@@ -87,7 +87,7 @@
 
 /** Number of requests that the engines have begun and not finished. */
 function runningCount(w: world.World): number {
-  const journal = w.at.journal();
+  const journal = w.site.journal();
   const ran = journal.filter((e) => e.kind === "run").length;
   return ran - journal.filter((e) => e.kind === "finish").length;
 }
@@ -110,7 +110,7 @@
 });
 
 world.step("the answer is on {word}", async (w, target: string) => {
-  const a = await w.last();
+  const a = await w.lastAnswer();
   expect(a.status, a.text).equal(200);
   expect(a.headers["sumacfield-model"]).equal(target);
 });
@@ -125,20 +125,20 @@
 world.step(
   "the caller is told {word}, with the code {word}",
   async (w, expectedOutcome: string, code: string) => {
-    expect(site.errorOf(await w.last())).include({ outcome: expectedOutcome, code });
+    expect(site.errorOf(await w.lastAnswer())).include({ outcome: expectedOutcome, code });
   },
 );
 
 world.step("the caller is told {word}", async (w, expectedOutcome: string) => {
-  expect(site.errorOf(await w.last()).outcome).equal(expectedOutcome);
+  expect(site.errorOf(await w.lastAnswer()).outcome).equal(expectedOutcome);
 });
 
 world.step("the caller is told when to come back", async (w) => {
-  expect(Number((await w.last()).headers["retry-after"])).least(1);
+  expect(Number((await w.lastAnswer()).headers["retry-after"])).least(1);
 });
 
 world.step("the caller can tell that the answer is not whole", async (w) => {
-  const a = await w.last();
+  const a = await w.lastAnswer();
   expect(a.broken).equal(true);
   expect(a.text).not.include("[DONE]");
   expect(a.text).include('"outcome":"unknown"');
@@ -155,37 +155,39 @@
   for (const a of await w.answers()) {
     if (a.status === 200 || site.errorOf(a).outcome !== "not_run") continue;
     const id = String(a.headers["x-request-id"]);
-    const ran = w.at.journal().filter((e) => e.kind === "run" && e.id.startsWith(id));
+    const ran = w.site.journal().filter((e) => e.kind === "run" && e.id.startsWith(id));
     expect(ran, `request ${id} was told not_run`).eql([]);
   }
 });
 
 world.step("no request ran more than once", (w) => {
-  const ran = w.at.journal().flatMap((e) => (e.kind === "run" ? [e.id.slice(0, 36)] : []));
+  const ran = w.site.journal().flatMap((e) => (e.kind === "run" ? [e.id.slice(0, 36)] : []));
   expect(new Set(ran).size).equal(ran.length);
 });
 
 world.step("the engines ran {int} request(s) in all", (w, n: number) => {
-  expect(w.at.journal().filter((e) => e.kind === "run")).length(n);
+  expect(w.site.journal().filter((e) => e.kind === "run")).length(n);
 });
 
 world.step("the service ran {string} {int} time(s)", (w, body: string, n: number) => {
-  expect(w.at.services?.service.ran.filter((r) => r.body === body)).length(n);
+  expect(w.site.services?.service.ran.filter((r) => r.body === body)).length(n);
 });
 
 world.step("no adapter was evicted in use", (w) => {
-  expect(w.at.journal().filter((e) => e.kind === "evicted-in-use")).eql([]);
+  expect(w.site.journal().filter((e) => e.kind === "evicted-in-use")).eql([]);
 });
 
 world.step(
   "a caller asks {word} for {int} tokens and goes away",
   async (w, model: string, tokens: number) => {
-    await w.at.askAndLeave(model, tokens, () => runningCount(w) > 0);
+    await w.site.askAndLeave(model, tokens, () => runningCount(w) > 0);
   },
 );
 
 world.step("{word} was loaded {int} times", (w, target: string, n: number) => {
-  const loads = w.at.journal().filter((e) => e.kind === "load" && e.name.startsWith(`${target}~`));
+  const loads = w.site
+    .journal()
+    .filter((e) => e.kind === "load" && e.name.startsWith(`${target}~`));
   expect(loads).length(n);
 });
 
@@ -206,14 +208,14 @@
 });
 
 world.step("the last caller gets an answer", async (w) => {
-  const a = await w.last();
+  const a = await w.lastAnswer();
   expect(a.status, a.text).equal(200);
 });
 
 world.step(
   "the service ran {string} {int} time(s) after the answer",
   async (w, body: string, n: number) => {
-    expect((await w.last()).status).equal(200);
-    expect(w.at.services?.service.ran.filter((r) => r.body === body)).length(n);
+    expect((await w.lastAnswer()).status).equal(200);
+    expect(w.site.services?.service.ran.filter((r) => r.body === body)).length(n);
   },
 );
--- a/test/steps/world.ts
+++ b/test/steps/world.ts
@@ -8,26 +8,26 @@
 /** The site of one scenario, its callers' answers, and values that steps leave for later ones. */
 export class World {
   /** The scenario's site; undefined until a step starts it. */
-  site: site.Site | undefined;
+  startedSite: site.Site | undefined;
   /** The answers of all requests, in the order in which these were sent. */
-  readonly asked: Promise<site.Answer>[] = [];
+  readonly pendingAnswers: Promise<site.Answer>[] = [];
   /** Values that one step records for another, by name. */
   readonly notes = new Map<string, unknown>();
 
   /** The scenario's site; throws when no step has started one. */
-  get at(): site.Site {
-    if (!this.site) throw new Error("no step of the scenario has started a site");
-    return this.site;
+  get site(): site.Site {
+    if (!this.startedSite) throw new Error("no step of the scenario has started a site");
+    return this.startedSite;
   }
 
   /** Waits for all answers. */
   answers(): Promise<readonly site.Answer[]> {
-    return Promise.all(this.asked);
+    return Promise.all(this.pendingAnswers);
   }
 
   /** Waits for the answer of the last request. */
-  async last(): Promise<site.Answer> {
-    const answer = await this.asked.at(-1);
+  async lastAnswer(): Promise<site.Answer> {
+    const answer = await this.pendingAnswers.at(-1);
     if (!answer) throw new Error("no request has been sent");
     return answer;
   }
@@ -51,7 +51,7 @@
 }
 
 /** Runs the step that matches `text`; throws unless exactly one does. */
-export async function perform(world: World, text: string): Promise<void> {
+export async function runStep(world: World, text: string): Promise<void> {
   const matches = steps.flatMap((s) => {
     const args = s.expression.match(text);
     return args ? [{ run: s.run, args: args.map((a) => a.getValue<Arg>(world) ?? "") }] : [];
