--- a/bench/cost/decision.ts
+++ b/bench/cost/decision.ts
@@ -46,7 +46,7 @@
   return { revision: 1, id: "cost", objects: found };
 }
 
-function newsOf(i: number, adapters: number, random: () => number): wire.News {
+function newsOf(i: number, adapters: number, random: () => number): wire.EndpointReport {
   return {
     endpoint: `engine-${i}`,
     epoch: "e",
@@ -223,7 +223,7 @@
 export function news(): Cost & { readonly wire: number } {
   const one = newsOf(1, 28_000, workload.randomOf(1));
   const cost = measure(5000, () => {
-    wire.decode(wire.news, wire.encode(one));
+    wire.decode(wire.endpointReport, wire.encode(one));
   });
   return { ...cost, wire: wire.encode(one).length };
 }
--- a/bench/cost/link.ts
+++ b/bench/cost/link.ts
@@ -11,18 +11,18 @@
 import * as site from "../site.js";
 import * as decision from "./decision.js";
 
-const RING: keys.Keys = [site.KEY];
+const RING: keys.ClusterKeys = [site.KEY];
 
 /** Microseconds to sign and to check one request. */
 export function signing(): decision.Cost {
-  const verify = keys.verifier(RING, clock.system);
+  const verify = keys.createVerifier(RING, clock.system);
   const signed = { method: "POST", path: "/run", audience: "engine-a", covers: ["x".repeat(400)] };
   return decision.measure(3000, () => {
     verify(keys.sign(RING, signed, clock.system), signed, "p");
   });
 }
 
-const NEWS: wire.News = {
+const NEWS: wire.EndpointReport = {
   endpoint: "engine-a",
   epoch: "abcdefabcdef",
   seq: 1,
@@ -54,18 +54,20 @@
 }> {
   const traffic = { bytes: 0 };
   const handler: control.Handler = {
-    news: () => NEWS,
+    endpointReport: () => NEWS,
     status: () => {
       throw new Error("not measured");
     },
     changesAfter: () => ({ kind: "changes", changes: [] }),
-    learn: () => 1,
+    receiveIntent: () => 1,
     cancel: () => ({ kind: "not_run" }),
     askTurn: () => ({ kind: "wait", askAgainMs: 100 }),
     endTurn: () => undefined,
     explain: () => [],
   };
-  const serve = control.serve("engine-a", handler, keys.verifier(RING, clock.system), { bytes: 0 });
+  const serve = control.serve("engine-a", handler, keys.createVerifier(RING, clock.system), {
+    bytes: 0,
+  });
   const server = http.createServer((req, res) => void serve(req, res));
   await new Promise<void>((resolve) => {
     server.listen(0, "127.0.0.1", resolve);
--- a/bench/cost/memory.ts
+++ b/bench/cost/memory.ts
@@ -25,7 +25,7 @@
   const store = await stores.start();
   const list = await hostLists.start();
   const st = etcd.open({ url: store.url, timeoutMs: 10_000, spend: () => undefined });
-  await journal.replace(st, decision.intentOf(600, adapters));
+  await journal.replaceIntent(st, decision.intentOf(600, adapters));
   store.store.calls.clear();
   const front = await proc.entry(store.url, list.url, { storeCheckMs: "60000" });
   await new Promise((r) => setTimeout(r, SETTLE_MS));
--- a/bench/cost/upstream.ts
+++ b/bench/cost/upstream.ts
@@ -20,7 +20,7 @@
   choices: [{ text: "word ".repeat(EVENTS) }],
 });
 
-const news: wire.News = {
+const news: wire.EndpointReport = {
   endpoint: NAME,
   epoch: "cost",
   seq: 1,
@@ -35,18 +35,18 @@
   revision: 1,
 };
 const handler: control.Handler = {
-  news: () => news,
+  endpointReport: () => news,
   status: () => {
     throw new Error("not measured");
   },
   changesAfter: () => ({ kind: "changes", changes: [] }),
-  learn: () => 1,
+  receiveIntent: () => 1,
   cancel: () => ({ kind: "not_run" }),
   askTurn: () => ({ kind: "go" }),
   endTurn: () => undefined,
   explain: () => [],
 };
-const takeControl = control.serve(NAME, handler, keys.verifier([site.KEY], clock.system), {
+const takeControl = control.serve(NAME, handler, keys.createVerifier([site.KEY], clock.system), {
   bytes: 0,
 });
 const encoded = wire.encode(news);
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -60,7 +60,7 @@
 export const SETTINGS = {
   storeUrl: settings.url("storeUrl", { help: "The configuration store's etcd v3 JSON gateway." }),
   hostsUrl: settings.url("hostsUrl", { help: "The platform's list of hosts." }),
-  clusterKeys: settings.secrets("clusterKeys", keys.KEY_LENGTH, {
+  clusterKeys: settings.secrets("clusterKeys", keys.MIN_KEY_BYTES, {
     help: "Keys that daemons authenticate each other with; the first one signs.",
   }),
   storeTimeoutMs: settings.int("storeTimeoutMs", 1, {
--- a/src/contract/limits.ts
+++ b/src/contract/limits.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type * as objects from "./objects.js";
-import * as budget from "../store/budget.js";
+import * as tokenBucket from "../store/token-bucket.js";
 
 /** The limits that a grant declares. */
 export type Limits = objects.Grant["spec"]["limits"];
@@ -27,7 +27,7 @@
   /** Requests in flight. */
   readonly running: number;
   /** Token bucket of the rate limit; undefined until a request was admitted under a rate limit. */
-  readonly bucket: budget.Bucket | undefined;
+  readonly bucket: tokenBucket.Bucket | undefined;
 }
 
 /** The usage of a caller that has sent no request. */
@@ -64,8 +64,8 @@
   if (l.rate === undefined) return { ok: true, usage: { ...u, running: u.running + 1 } };
   const rate = l.rate / Math.max(1, position.hosts);
   const size = Math.max(1, rate);
-  const current = u.bucket ?? budget.full(rate, size, now);
-  const taken = budget.take(
+  const current = u.bucket ?? tokenBucket.fullBucket(rate, size, now);
+  const taken = tokenBucket.take(
     { ...current, rate, size, tokens: Math.min(size, current.tokens) },
     now,
   );
--- a/src/endpoint/attempt-register.ts
+++ b/src/endpoint/attempt-register.ts
@@ -18,7 +18,7 @@
  * Milliseconds for which an attempt is remembered; the signature of a repeated attempt expires
  * earlier, so a forgotten attempt cannot be accepted again.
  */
-const TTL_MS = 4 * keys.WINDOW_MS;
+const TTL_MS = 4 * keys.SIGNATURE_WINDOW_MS;
 
 /** The attempts of one run of the daemon process. */
 export class AttemptRegister {
--- a/src/endpoint/daemon.ts
+++ b/src/endpoint/daemon.ts
@@ -123,7 +123,7 @@
   const parts = daemon.assemble(cfg, clk, random);
   const lg = parts.logOf("endpoint");
   const stop = new AbortController();
-  const holder = new lease.Holder(
+  const holder = new lease.LeaseHolder(
     { endpoint: cfg.name, epoch: parts.epoch, ttlMs: cfg.leaseMs },
     { clock: clk, log: parts.logOf("lease"), store: parts.store },
   );
@@ -184,8 +184,8 @@
         engine: object.spec.serves === "engine" ? engine : undefined,
         turn: coordinator.client(),
         engineLease: {
-          fencingNumber: () => holder.fence(),
-          hasHandedOver: (epoch) => holder.trusts(epoch),
+          fencingNumber: () => holder.fencingNumber(),
+          hasHandedOver: (epoch) => holder.hasHandedOver(epoch),
           isLost: () => object.spec.serves === "engine" && holder.state() === "lost",
         },
         sourceOf: (target) => sourceOf(parts.feed.intent(), target),
@@ -205,7 +205,7 @@
   parts.feed.onChange(applyIntent);
 
   const handler: control.Handler = {
-    news: () => current?.gate.news(),
+    endpointReport: () => current?.gate.news(),
     status: () => {
       const report = current?.gate.news();
       return {
@@ -218,7 +218,7 @@
       };
     },
     changesAfter: (revision) => parts.feed.changesAfter(revision),
-    learn: (page) => parts.feed.learn(page),
+    receiveIntent: (page) => parts.feed.learn(page),
     cancel: (id, epoch) => current?.gate.cancel(id, epoch) ?? { kind: "unknown_epoch" },
     askTurn: (ask) => coordinator.handleAsk(ask),
     endTurn: (name) => {
@@ -248,9 +248,9 @@
     parts.members.follow(clk, cfg.hostsEveryMs, stop.signal),
     clock.every(
       clk,
-      holder.everyMs,
+      holder.renewIntervalMs,
       stop.signal,
-      () => (servesEngine() ? holder.step() : undefined),
+      () => (servesEngine() ? holder.renewOrAcquire() : undefined),
       (err) => {
         lg.warn(`Renewing the lease on the engine failed: ${errors.messageOf(err)}`);
       },
@@ -267,7 +267,7 @@
     while (!stop.signal.aborted && !servesEngine()) {
       await clock.sleep(clk, cfg.engineEveryMs, stop.signal);
     }
-    await holder.step().catch((err: unknown) => {
+    await holder.renewOrAcquire().catch((err: unknown) => {
       lg.warn(`Starting without the lease on the engine: ${errors.messageOf(err)}`);
     });
     await clock.every(
--- a/src/endpoint/gate.ts
+++ b/src/endpoint/gate.ts
@@ -95,7 +95,7 @@
   }
 
   /** The current state of this endpoint, numbered, for entry daemons. */
-  news(): wire.News {
+  news(): wire.EndpointReport {
     this.seq++;
     return {
       endpoint: this.opts.name,
@@ -232,7 +232,7 @@
   }
 
   /** Gives up an attempt that was not dispatched, even if it has not arrived yet. */
-  cancel(id: string, epoch: string): control.Fate {
+  cancel(id: string, epoch: string): control.AttemptFate {
     if (epoch !== this.opts.epoch) return { kind: "unknown_epoch" };
     if (this.register.giveUp(id) === "dispatched") return { kind: "dispatched" };
     this.withdraw(id, "cancelled", "The entry daemon gave up the attempt.");
--- a/src/endpoint/server.ts
+++ b/src/endpoint/server.ts
@@ -32,7 +32,7 @@
   readonly log: log.Log;
   /** The admission gate; undefined until the intent with this endpoint is known. */
   readonly gate: () => gate.Gate | undefined;
-  readonly verify: ReturnType<typeof keys.verifier>;
+  readonly verify: ReturnType<typeof keys.createVerifier>;
   readonly control: (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>;
   readonly engine: engine.Engine | undefined;
   readonly service: service.Service | undefined;
@@ -58,7 +58,7 @@
       res.destroy();
     });
   });
-  server.on("clientError", body.refuseBytes);
+  server.on("clientError", body.sendUnreadableRequest);
   return server;
 }
 
@@ -84,7 +84,7 @@
     a = readAttempt(opts, deps, req, peer);
   } catch (err) {
     req.resume();
-    body.refuse(res, outcome.toFailure(err, "accept", opts.name, "not_run"));
+    body.sendFailure(res, outcome.toFailure(err, "accept", opts.name, "not_run"));
     return;
   }
   res.setHeader(wire.HEADER.attempt, a.id);
@@ -158,7 +158,7 @@
   if (!res.headersSent) {
     for (const [name, value] of Object.entries(reportHeader(deps))) res.setHeader(name, value);
   }
-  body.refuse(res, f);
+  body.sendFailure(res, f);
 }
 
 type ModelWork = Extract<wire.Attempt["work"], { kind: "model" }>;
--- a/src/endpoint/turn-coordinator.ts
+++ b/src/endpoint/turn-coordinator.ts
@@ -54,7 +54,7 @@
   }
 
   /** Answers a request for a turn, as the keeper. */
-  handleAsk(a: control.TurnAsk): control.TurnAnswer {
+  handleAsk(a: control.TurnRequest): control.TurnAnswer {
     const { turns: next, answer } = turns.ask(this.turns, a, this.deps.clock.mono());
     this.turns = next;
     return answer;
@@ -71,7 +71,7 @@
     let renewalTimer: clock.Timer | undefined;
     // Falls back to the next keeper if one does not answer. Without any keeper the load starts at
     // once: concurrent loads are slower, but loading never stops.
-    const ask = async (a: control.TurnAsk): Promise<control.TurnAnswer> => {
+    const ask = async (a: control.TurnRequest): Promise<control.TurnAnswer> => {
       const keeper = this.keeper();
       if (!keeper) return { kind: "go" };
       if (keeper.name === name) return this.handleAsk(a);
@@ -86,7 +86,7 @@
         return ask(a);
       }
     };
-    const scheduleRenewal = (a: control.TurnAsk): void => {
+    const scheduleRenewal = (a: control.TurnRequest): void => {
       renewalTimer = this.deps.clock.after(this.opts.holdMs / RENEWALS_PER_HOLD, () => {
         void ask(a);
         scheduleRenewal(a);
--- a/src/endpoint/turns.ts
+++ b/src/endpoint/turns.ts
@@ -18,7 +18,7 @@
   readonly askMaxMs: number;
 }
 
-interface Ask extends control.TurnAsk {
+interface Ask extends control.TurnRequest {
   readonly at: number;
 }
 
@@ -58,7 +58,7 @@
  */
 export function ask(
   t: Turns,
-  a: control.TurnAsk,
+  a: control.TurnRequest,
   now: number,
 ): { readonly turns: Turns; readonly answer: control.TurnAnswer } {
   const live = dropExpired(t, now);
@@ -80,7 +80,7 @@
   return { turns: { ...live, asks }, answer: { kind: "wait", askAgainMs } };
 }
 
-function goesBefore(a: control.TurnAsk, b: control.TurnAsk): boolean {
+function goesBefore(a: control.TurnRequest, b: control.TurnRequest): boolean {
   return a.score === b.score ? a.endpoint < b.endpoint : a.score > b.score;
 }
 
--- a/src/entry/daemon.ts
+++ b/src/entry/daemon.ts
@@ -208,7 +208,7 @@
         parts.members,
       ),
       claims: new claims.Claims(
-        { windowMs: cfg.claimWindowMs, batchMs: cfg.claimBatchMs, batch: MAX_CLAIM_BATCH },
+        { windowMs: cfg.claimWindowMs, batchMs: cfg.claimBatchMs, maxBatchSize: MAX_CLAIM_BATCH },
         { clock: clk, log: parts.logOf("claims"), store: parts.store },
       ),
       job: {
@@ -232,7 +232,7 @@
   });
 
   const handler: control.Handler = {
-    news: () => undefined,
+    endpointReport: () => undefined,
     status: () => ({
       ...daemon.commonStatus(parts),
       role: "entry",
@@ -242,7 +242,7 @@
       loaded: [],
     }),
     changesAfter: (revision) => parts.feed.changesAfter(revision),
-    learn: (page) => parts.feed.learn(page),
+    receiveIntent: (page) => parts.feed.learn(page),
     cancel: () => ({ kind: "unknown_epoch" }),
     askTurn: () => ({ kind: "go" }),
     endTurn: () => undefined,
@@ -259,7 +259,7 @@
   const handleControl = controls.serve(cfg.name, handler, parts.verify, parts.traffic);
   const linkServer = http.createServer((req, res) => {
     void handleControl(req, res).catch((err: unknown) => {
-      body.refuse(res, outcome.toFailure(err, "control", cfg.name, "not_run"));
+      body.sendFailure(res, outcome.toFailure(err, "control", cfg.name, "not_run"));
     });
   });
   const linkAddress = await addresses.listen(linkServer, cfg.linkAddress);
--- a/src/entry/job.ts
+++ b/src/entry/job.ts
@@ -15,7 +15,7 @@
 import type * as control from "../link/control.js";
 import * as keys from "../link/keys.js";
 import * as wire from "../link/wire.js";
-import * as budget from "../store/budget.js";
+import * as tokenBucket from "../store/token-bucket.js";
 import type * as hosts from "../store/hosts.js";
 import * as outcome from "../request/outcome.js";
 import * as trail from "../request/trail.js";
@@ -31,7 +31,7 @@
   /** Milliseconds that a caller is told to wait before a retry when the failure names no time. */
   readonly retryAfterMs: number;
   /** Keys that requests to endpoint daemons are signed with. */
-  readonly clusterKeys: keys.Keys;
+  readonly clusterKeys: keys.ClusterKeys;
 }
 
 export interface Deps {
@@ -293,7 +293,7 @@
 
 function receiveReport(res: undici.Dispatcher.ResponseData, deps: Deps): void {
   try {
-    deps.views.receive(wire.decode(wire.news, res.headers[wire.HEADER.news]));
+    deps.views.receive(wire.decode(wire.endpointReport, res.headers[wire.HEADER.news]));
   } catch (err) {
     deps.log.debug(
       `An answer has no valid report of its endpoint's state: ${errors.messageOf(err)}`,
@@ -336,16 +336,16 @@
  * besides, so that a failure does not multiply the load.
  */
 export function retryBudget(share: number, minPerSecond: number, clk: clock.Clock) {
-  let bucket = budget.full(minPerSecond, minPerSecond, clk.steady());
+  let bucket = tokenBucket.fullBucket(minPerSecond, minPerSecond, clk.steady());
   return {
     /** Adds the share of one admitted request to the budget. */
     recordRequest: (): void => {
-      const filled = budget.fill(bucket, clk.steady());
+      const filled = tokenBucket.refill(bucket, clk.steady());
       bucket = { ...filled, tokens: Math.min(filled.size * 2, filled.tokens + share) };
     },
     /** Takes `cost` tokens; false when the budget holds fewer. */
     takeRetry: (cost: number): boolean => {
-      const taken = budget.take(bucket, clk.steady(), cost);
+      const taken = tokenBucket.take(bucket, clk.steady(), cost);
       if (taken.ok) bucket = taken.bucket;
       return taken.ok;
     },
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -91,7 +91,7 @@
       });
     },
   );
-  server.on("clientError", body.refuseBytes);
+  server.on("clientError", body.sendUnreadableRequest);
   return server;
 }
 
@@ -149,7 +149,7 @@
     else throw outcome.notRun("not_found", "read", peer, `There is no ${url.pathname}.`);
   } catch (err) {
     if (!req.readableEnded) req.resume();
-    body.refuse(res, outcome.toFailure(err, "serve", opts.name, "unknown"));
+    body.sendFailure(res, outcome.toFailure(err, "serve", opts.name, "unknown"));
   }
 }
 
@@ -302,7 +302,7 @@
     release = deps.admission.admit(w.grant, a.caller);
     deps.onAdmitted();
     const key = a.headers.idempotencyKey;
-    if (key !== undefined) claim = await deps.claims.make(a.caller.metadata.name, key, a.id);
+    if (key !== undefined) claim = await deps.claims.acquire(a.caller.metadata.name, key, a.id);
     const limits = w.grant.spec.limits;
     const begun = await job.run(
       {
--- a/src/entry/view.ts
+++ b/src/entry/view.ts
@@ -3,7 +3,7 @@
  * holds the time of its last report and counts what this daemon has sent since.
  * @module
  */
-import * as circuit from "../link/circuit.js";
+import * as circuitBreaker from "../link/circuit-breaker.js";
 import type * as wire from "../link/wire.js";
 
 /** One endpoint as this entry daemon sees it. */
@@ -15,14 +15,14 @@
   /** Whether the platform's list of hosts says that it is leaving. */
   readonly leaving: boolean;
   /** Its last report; undefined before the first and after it stopped responding. */
-  readonly news: wire.News | undefined;
+  readonly news: wire.EndpointReport | undefined;
   /** When the last report arrived, in monotonic ms. */
   readonly heardAt: number;
   /** Attempts of this entry daemon in flight there now. */
   readonly own: number;
   /** Attempts of this entry daemon in flight there when the last report arrived. */
   readonly ownAtNews: number;
-  readonly circuit: circuit.Circuit;
+  readonly circuit: circuitBreaker.CircuitBreaker;
 }
 
 /** The view of an endpoint that has sent no report yet. */
@@ -35,7 +35,7 @@
     heardAt: -Infinity,
     own: 0,
     ownAtNews: 0,
-    circuit: circuit.CLOSED,
+    circuit: circuitBreaker.CLOSED,
   };
 }
 
@@ -43,7 +43,7 @@
  * The view after the report `news`; a report older than the last one of the same epoch changes
  * nothing.
  */
-export function hear(v: View, news: wire.News, now: number): View {
+export function hear(v: View, news: wire.EndpointReport, now: number): View {
   if (v.news?.epoch === news.epoch && news.seq <= v.news.seq) return v;
   return { ...v, news, heardAt: now, ownAtNews: v.own };
 }
@@ -63,7 +63,7 @@
   if (!v.news) return "it has not reported its state";
   if (v.news.state === "draining") return "it is draining";
   if (v.news.state === "learning") return "it does not know the state of its engine yet";
-  if (!circuit.allows(v.circuit, now)) return "it failed recently";
+  if (!circuitBreaker.allows(v.circuit, now)) return "it failed recently";
   return undefined;
 }
 
--- a/src/entry/views.ts
+++ b/src/entry/views.ts
@@ -11,7 +11,7 @@
 import * as errors from "../host/errors.js";
 import * as log from "../host/log.js";
 import type * as members from "../host/members.js";
-import * as circuit from "../link/circuit.js";
+import * as circuitBreaker from "../link/circuit-breaker.js";
 import type * as control from "../link/control.js";
 import type * as wire from "../link/wire.js";
 import type * as hosts from "../store/hosts.js";
@@ -34,7 +34,7 @@
    * Largest number of further candidates that hold the adapter but were not taken from the ring.
    */
   readonly maxHolders: number;
-  readonly circuit: circuit.Options;
+  readonly circuit: circuitBreaker.Options;
 }
 
 export interface Deps {
@@ -125,7 +125,7 @@
   }
 
   /** Applies a report from an endpoint, whichever way it arrived. */
-  receive(news: wire.News): void {
+  receive(news: wire.EndpointReport): void {
     const v = this.views.get(news.endpoint);
     if (v) this.set(view.hear(v, news, this.deps.clock.mono()));
   }
@@ -141,7 +141,7 @@
     if (set) set.add(abort);
     else this.inFlight.set(name, new Set([abort]));
     const now = this.deps.clock.mono();
-    this.set({ ...v, own: v.own + 1, circuit: circuit.sent(v.circuit, now) });
+    this.set({ ...v, own: v.own + 1, circuit: circuitBreaker.recordSend(v.circuit, now) });
   }
 
   /** Records the end of an attempt; `good` tells whether the endpoint behaved correctly. */
@@ -150,7 +150,9 @@
     const v = this.views.get(name);
     if (!v) return;
     const now = this.deps.clock.mono();
-    const next = good ? circuit.succeeded() : circuit.failed(v.circuit, this.opts.circuit, now);
+    const next = good
+      ? circuitBreaker.recordSuccess()
+      : circuitBreaker.recordFailure(v.circuit, this.opts.circuit, now);
     if (next.kind === "open" && v.circuit.kind !== "open") {
       this.deps.log.warn(`${name} is left out for ${next.openMs} ms after failures.`);
     }
--- a/src/host/daemon.ts
+++ b/src/host/daemon.ts
@@ -8,7 +8,7 @@
 import type * as control from "../link/control.js";
 import * as controls from "../link/control.js";
 import * as keys from "../link/keys.js";
-import * as budget from "../store/budget.js";
+import * as tokenBucket from "../store/token-bucket.js";
 import * as etcd from "../store/etcd.js";
 import * as hosts from "../store/hosts.js";
 import type * as store from "../store/store.js";
@@ -30,7 +30,7 @@
   }),
   storeUrl: settings.url("storeUrl", { help: "The configuration store's etcd v3 JSON gateway." }),
   hostsUrl: settings.url("hostsUrl", { help: "The platform's list of hosts." }),
-  clusterKeys: settings.secrets("clusterKeys", keys.KEY_LENGTH, {
+  clusterKeys: settings.secrets("clusterKeys", keys.MIN_KEY_BYTES, {
     help: "Keys that authenticate daemons to each other; the first signs, all are accepted.",
   }),
   statsdAddress: settings.optionalText("statsdAddress", {
@@ -94,10 +94,10 @@
   readonly logOf: (part: string) => log.Log;
   readonly metrics: statsdMetrics.Metrics;
   readonly store: store.Store;
-  readonly storeCount: () => budget.Count;
+  readonly storeCount: () => tokenBucket.CallCounts;
   readonly members: members.Members;
   readonly feed: intentFeed.IntentFeed;
-  readonly verify: ReturnType<typeof keys.verifier>;
+  readonly verify: ReturnType<typeof keys.createVerifier>;
   readonly traffic: control.Traffic;
   readonly peer: (m: hosts.Member) => control.Peer;
 }
@@ -116,7 +116,7 @@
 export function assemble(cfg: Config, clk: clock.Clock, random: () => number): Parts {
   const logOf = log.logs(cfg.name, cfg.logLevel, cfg.logFormat);
   const mets = statsdMetrics.open(cfg.name, cfg.statsdAddress);
-  const meter = budget.meter(clk, cfg.storeCallsPerS, cfg.storeUrl);
+  const meter = tokenBucket.createCallBudget(clk, cfg.storeCallsPerS, cfg.storeUrl);
   const st = etcd.open({ url: cfg.storeUrl, timeoutMs: cfg.storeTimeoutMs, spend: meter.spend });
   const hostSource = hosts.endpointSlices(cfg.hostsUrl, cfg.controlTimeoutMs);
   const mems = new members.Members(hostSource, logOf("members"));
@@ -145,7 +145,7 @@
     storeCount: meter.count,
     members: mems,
     feed: fd,
-    verify: keys.verifier(cfg.clusterKeys, clk),
+    verify: keys.createVerifier(cfg.clusterKeys, clk),
     traffic,
     peer,
   };
--- a/src/host/intent-feed.ts
+++ b/src/host/intent-feed.ts
@@ -99,7 +99,7 @@
   }
 
   /** What a peer at `revision` is missing: recent changes, or all objects if it lags too far behind. */
-  changesAfter(revision: number): control.Page {
+  changesAfter(revision: number): control.IntentUpdate {
     if (revision >= this.current.revision) return { kind: "changes", changes: [] };
     const oldest = this.recentChanges[0]?.revision ?? Infinity;
     if (oldest <= revision + 1) {
@@ -121,7 +121,7 @@
    * Puts the newer part of a page in force, and forwards new changes to peers. Pages that are older, or whose
    * changes don't continue the current history, change nothing.
    */
-  learn(page: control.Page): number {
+  learn(page: control.IntentUpdate): number {
     this.hasIntent = true;
     switch (page.kind) {
       case "whole":
@@ -291,10 +291,10 @@
         stop.abort();
       }
     };
-    const watchEnded = this.deps.store.watch(journal.HEAD, stop.signal, {
+    const watchEnded = this.deps.store.watch(journal.HEAD_KEY, stop.signal, {
       opened: () => void readHead(),
       seen: (entry) => {
-        if (entry.key === journal.HEAD) void readHead();
+        if (entry.key === journal.HEAD_KEY) void readHead();
       },
     });
     const headChecks = clock.every(
--- a/src/link/body.ts
+++ b/src/link/body.ts
@@ -50,7 +50,7 @@
  * Answers bytes that are not an HTTP request, or a request that arrived too slowly, with a failure in the
  * usual format, and closes the connection.
  */
-export function refuseBytes(err: Error, socket: stream.Duplex): void {
+export function sendUnreadableRequest(err: Error, socket: stream.Duplex): void {
   if (!socket.writable) {
     socket.destroy();
     return;
@@ -78,7 +78,7 @@
  * Answers with a failure. If a response has already begun, destroys the connection, so that the client
  * cannot mistake the partial response for a complete one.
  */
-export function refuse(res: http.ServerResponse, f: outcome.Failure): void {
+export function sendFailure(res: http.ServerResponse, f: outcome.Failure): void {
   if (res.headersSent) {
     res.destroy();
     return;
--- a/src/link/circuit.ts
+++ b/src/link/circuit-breaker.ts
@@ -18,16 +18,16 @@
  * State of a circuit breaker. `closed`: requests are sent, and `failures` counts consecutive failures.
  * `open`: no requests until `until`. `trial`: one request was sent at `since` to test the peer.
  */
-export type Circuit =
+export type CircuitBreaker =
   | { readonly kind: "closed"; readonly failures: number }
   | { readonly kind: "open"; readonly until: number; readonly openMs: number }
   | { readonly kind: "trial"; readonly openMs: number; readonly since: number };
 
 /** The state without failures. */
-export const CLOSED: Circuit = { kind: "closed", failures: 0 };
+export const CLOSED: CircuitBreaker = { kind: "closed", failures: 0 };
 
 /** Whether a request may be sent at time `now`. */
-export function allows(c: Circuit, now: number): boolean {
+export function allows(c: CircuitBreaker, now: number): boolean {
   switch (c.kind) {
     case "closed":
       return true;
@@ -40,17 +40,17 @@
 }
 
 /** Returns the state after a request was sent; unless the circuit is closed, that request is the trial. */
-export function sent(c: Circuit, now: number): Circuit {
+export function recordSend(c: CircuitBreaker, now: number): CircuitBreaker {
   return c.kind === "closed" ? c : { kind: "trial", openMs: c.openMs, since: now };
 }
 
 /** Returns the state after a request succeeded. */
-export function succeeded(): Circuit {
+export function recordSuccess(): CircuitBreaker {
   return CLOSED;
 }
 
 /** Returns the state after a request failed. */
-export function failed(c: Circuit, opts: Options, now: number): Circuit {
+export function recordFailure(c: CircuitBreaker, opts: Options, now: number): CircuitBreaker {
   switch (c.kind) {
     case "closed":
       if (c.failures + 1 < opts.failures) return { kind: "closed", failures: c.failures + 1 };
--- a/src/link/control.ts
+++ b/src/link/control.ts
@@ -21,7 +21,7 @@
  * Schema of an update of the intent: the changesets after some revision, or the whole intent if the log no
  * longer reaches back to that revision.
  */
-export const page = zod.discriminatedUnion("kind", [
+export const intentUpdate = zod.discriminatedUnion("kind", [
   zod.object({ kind: zod.literal("changes"), changes: zod.array(intent.changeset).readonly() }),
   zod.object({
     kind: zod.literal("whole"),
@@ -30,10 +30,10 @@
     objects: zod.array(objects.schema).readonly(),
   }),
 ]);
-export type Page = zod.infer<typeof page>;
+export type IntentUpdate = zod.infer<typeof intentUpdate>;
 
 /** What became of an attempt, according to the endpoint daemon that it was addressed to. */
-export type Fate =
+export type AttemptFate =
   /** The attempt was not dispatched and never will be. */
   | { readonly kind: "not_run" }
   /** The attempt was dispatched; it may still be running. */
@@ -69,14 +69,14 @@
 }
 
 /** Schema of a request for a turn to load weights from the deployment's weight store. */
-export const turnAsk = zod.object({
+export const turnRequest = zod.object({
   endpoint: zod.string(),
   /** `adapter@version`. */
   target: zod.string(),
   /** Priority: a request with a larger score is served first. */
   score: zod.number(),
 });
-export type TurnAsk = zod.infer<typeof turnAsk>;
+export type TurnRequest = zod.infer<typeof turnRequest>;
 
 /** Whether an endpoint may load now, or in how many ms it should ask again. */
 export type TurnAnswer =
@@ -84,14 +84,14 @@
 
 /** A daemon's implementation of the control calls. */
 export interface Handler {
-  readonly news: () => wire.News | undefined;
+  readonly endpointReport: () => wire.EndpointReport | undefined;
   readonly status: () => Status;
-  readonly changesAfter: (revision: number) => Page;
+  readonly changesAfter: (revision: number) => IntentUpdate;
   /** Applies an update of the intent, and returns the revision in effect afterwards. */
-  readonly learn: (page: Page) => number;
+  readonly receiveIntent: (page: IntentUpdate) => number;
   /** Withdraws an attempt unless it was dispatched, and returns what became of it. */
-  readonly cancel: (attempt: string, epoch: string) => Fate;
-  readonly askTurn: (ask: TurnAsk) => TurnAnswer;
+  readonly cancel: (attempt: string, epoch: string) => AttemptFate;
+  readonly askTurn: (ask: TurnRequest) => TurnAnswer;
   readonly endTurn: (endpoint: string) => void;
   readonly explain: (caller: string, model: string) => readonly string[];
 }
@@ -99,16 +99,18 @@
 const t = server.initTRPC.context<{ readonly handler: Handler }>().create();
 
 const router = t.router({
-  news: t.procedure.query(({ ctx }) => ctx.handler.news() ?? null),
+  news: t.procedure.query(({ ctx }) => ctx.handler.endpointReport() ?? null),
   status: t.procedure.query(({ ctx }) => ctx.handler.status()),
   changesAfter: t.procedure
     .input(zod.object({ revision: zod.int() }))
     .query(({ ctx, input }) => ctx.handler.changesAfter(input.revision)),
-  learn: t.procedure.input(page).mutation(({ ctx, input }) => ctx.handler.learn(input)),
+  learn: t.procedure
+    .input(intentUpdate)
+    .mutation(({ ctx, input }) => ctx.handler.receiveIntent(input)),
   cancel: t.procedure
     .input(zod.object({ attempt: zod.string(), epoch: zod.string() }))
     .mutation(({ ctx, input }) => ctx.handler.cancel(input.attempt, input.epoch)),
-  askTurn: t.procedure.input(turnAsk).mutation(({ ctx, input }) => ctx.handler.askTurn(input)),
+  askTurn: t.procedure.input(turnRequest).mutation(({ ctx, input }) => ctx.handler.askTurn(input)),
   endTurn: t.procedure.input(zod.object({ endpoint: zod.string() })).mutation(({ ctx, input }) => {
     ctx.handler.endTurn(input.endpoint);
   }),
@@ -138,7 +140,7 @@
 export function serve(
   name: string,
   handler: Handler,
-  verify: ReturnType<typeof keys.verifier>,
+  verify: ReturnType<typeof keys.createVerifier>,
   traffic: Traffic,
 ): (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void> {
   const procedures = t.createCallerFactory(router)({ handler });
@@ -156,7 +158,7 @@
       res.writeHead(200, { "content-type": "application/json", "content-length": size });
       res.end(out);
     } catch (err) {
-      body.refuse(res, outcome.toFailure(err, "control", peer, "not_run"));
+      body.sendFailure(res, outcome.toFailure(err, "control", peer, "not_run"));
     }
   };
 }
@@ -183,7 +185,7 @@
 export function connect(
   address: string,
   name: string,
-  clusterKeys: keys.Keys,
+  clusterKeys: keys.ClusterKeys,
   clk: clock.Clock,
   timeoutMs: number,
   traffic: Traffic,
--- a/src/link/keys.ts
+++ b/src/link/keys.ts
@@ -17,20 +17,20 @@
  * Maximum difference between a signature's time and the verifier's clock, in ms. It is wide enough to
  * allow for differences between the hosts' clocks.
  */
-export const WINDOW_MS = 120_000;
+export const SIGNATURE_WINDOW_MS = 120_000;
 /**
  * Number of nonces remembered to detect replayed signatures. By the time one is evicted, its signature is
  * too old to be accepted.
  */
 const MAX_REMEMBERED_NONCES = 200_000;
 /** Minimum length of a cluster key, in bytes. */
-export const KEY_LENGTH = 16;
+export const MIN_KEY_BYTES = 16;
 
 /** The valid cluster keys, newest first. */
-export type Keys = readonly [string, ...string[]];
+export type ClusterKeys = readonly [string, ...string[]];
 
 /** The parts of a request that a signature covers. */
-export interface Signed {
+export interface SignedParts {
   readonly method: string;
   readonly path: string;
   /** Name of the daemon that the request is addressed to. */
@@ -44,7 +44,7 @@
   return crypto.createHash("sha256").update(text).digest("hex");
 }
 
-function mac(key: string, s: Signed, signedAt: string, nonce: string): string {
+function mac(key: string, s: SignedParts, signedAt: string, nonce: string): string {
   const parts = [s.method, s.path, s.audience, signedAt, nonce, ...s.covers];
   return crypto.createHmac("sha256", key).update(JSON.stringify(parts)).digest("base64url");
 }
@@ -61,19 +61,19 @@
 }
 
 /** Returns the value of the `Authorization` header for one request. */
-export function sign(keys: Keys, s: Signed, clk: clock.Clock): string {
+export function sign(keys: ClusterKeys, s: SignedParts, clk: clock.Clock): string {
   const nonce = crypto.randomBytes(NONCE_BYTES).toString("base64url");
   const signedAt = String(clk.now().getTime());
   return `${SCHEME} ${keyId(keys[0])}.${signedAt}.${nonce}.${mac(keys[0], s, signedAt, nonce)}`;
 }
 
 /** Creates a function that verifies signatures; one per daemon, since it remembers the nonces it accepted. */
-export function verifier(keys: Keys, clk: clock.Clock) {
+export function createVerifier(keys: ClusterKeys, clk: clock.Clock) {
   const byId = new Map(keys.map((k) => [keyId(k), k]));
   const seen = new lru.LRUCache<string, true>({ max: MAX_REMEMBERED_NONCES });
 
   /** Throws a `StepError` of step `authenticate` unless the signature is valid, recent and not a replay. */
-  return (header: string | undefined, s: Signed, peer: string): void => {
+  return (header: string | undefined, s: SignedParts, peer: string): void => {
     const refuse = (why: string): never => {
       throw outcome.notRun("unauthorized", "authenticate", peer, `Not from this cluster: ${why}.`);
     };
@@ -88,7 +88,7 @@
     if (expected.length !== received.length || !crypto.timingSafeEqual(expected, received)) {
       return refuse("the signature does not match");
     }
-    if (Math.abs(clk.now().getTime() - Number(signedAt)) > WINDOW_MS)
+    if (Math.abs(clk.now().getTime() - Number(signedAt)) > SIGNATURE_WINDOW_MS)
       return refuse("the signature is too old or in the future");
     if (seen.has(nonce)) return refuse("the signature was used before");
     seen.set(nonce, true);
--- a/src/link/wire.ts
+++ b/src/link/wire.ts
@@ -63,7 +63,7 @@
 export type Attempt = zod.infer<typeof attempt>;
 
 /** Schema of an endpoint's report of its state, sent with every answer and on request. */
-export const news = zod
+export const endpointReport = zod
   .object({
     endpoint: zod.string(),
     /** Identifies one run of the daemon; changes with every start. */
@@ -85,7 +85,7 @@
     revision: zod.int(),
   })
   .readonly();
-export type News = zod.infer<typeof news>;
+export type EndpointReport = zod.infer<typeof endpointReport>;
 
 /** Encodes a value as the text of a header. */
 export function encode(value: unknown): string {
--- a/src/operator/change.ts
+++ b/src/operator/change.ts
@@ -91,10 +91,10 @@
     if (diffs.length === 0) return { kind: "unchanged", revision: base.revision };
     const change = changesetFor(diffs, base, deps);
     const startedAt = deps.clock.mono();
-    const added = await journal.add(deps.store, change);
+    const added = await journal.append(deps.store, change);
     switch (added.kind) {
       case "accepted":
-        await journal.snapshot(deps.store, intents.step(base, change)).catch(() => false);
+        await journal.writeSnapshotIfDue(deps.store, intents.step(base, change)).catch(() => false);
         return inForce(added.revision, startedAt, deps);
       case "unknown":
         return { kind: "unknown", revision: change.revision, id: change.id, why: added.why };
@@ -197,7 +197,7 @@
   for (;;) {
     const page = await deps.peer(newestMember).changesAfter.query({ revision: storeRevision });
     if (page.kind === "whole") {
-      await journal.replace(deps.store, {
+      await journal.replaceIntent(deps.store, {
         revision: page.revision,
         id: page.id,
         objects: new Map(page.objects.map((o) => [objects.keyOf(o), o])),
@@ -206,7 +206,7 @@
     }
     if (page.changes.length === 0) return storeRevision;
     for (const change of page.changes) {
-      const added = await journal.add(deps.store, change);
+      const added = await journal.append(deps.store, change);
       if (added.kind !== "accepted") {
         throw new Error(`revision ${change.revision} could not be written back: ${added.kind}`);
       }
--- a/src/request/claims.ts
+++ b/src/request/claims.ts
@@ -20,7 +20,7 @@
   /** Time for which a claim waits for others to be sent in the same call, in ms. */
   readonly batchMs: number;
   /** Maximum number of claims in one call. */
-  readonly batch: number;
+  readonly maxBatchSize: number;
 }
 
 /** What {@link Claims} depends on. */
@@ -69,14 +69,14 @@
    * with outcome `unknown` when another request holds the key and may have run, and with `not_run`
    * when the store did not confirm the claim.
    */
-  make(caller: string, key: string, request: string): Promise<Claim> {
-    const claim = { key: `${journal.ROOT}claims/${caller}/${keys.sha256(key)}`, request };
+  acquire(caller: string, key: string, request: string): Promise<Claim> {
+    const claim = { key: `${journal.KEY_PREFIX}claims/${caller}/${keys.sha256(key)}`, request };
     return new Promise((resolve, reject) => {
       const settle = (): void => {
         resolve(claim);
       };
       this.pending = [...this.pending, { claim, resolve: settle, reject }];
-      if (this.pending.length >= this.opts.batch) this.flush();
+      if (this.pending.length >= this.opts.maxBatchSize) this.flush();
       else if (this.pending.length === 1) {
         this.deps.clock.after(this.opts.batchMs, () => {
           this.flush();
--- a/src/serving/feed.ts
+++ b/src/serving/feed.ts
@@ -206,7 +206,7 @@
     const { hedgeAfterMs: overdueMs } = this.deps.pace;
     if (overdueMs === undefined) return call();
     const overdue = (): void => {
-      this.deps.source.renew();
+      this.deps.source.replaceConnections();
       if (this.hedgeLogged) return;
       this.hedgeLogged = true;
       this.deps.log.warn("A call to the store is overdue; a second one was sent to hedge it.", {
@@ -277,7 +277,7 @@
     const { source, decoder, pace } = this.deps;
     const { revision } = this.current;
     const result = await this.callStore((signal) =>
-      source.changes(decoder.common, revision, pace.watchMs, signal),
+      source.waitForChanges(decoder.common, revision, pace.watchMs, signal),
     );
     if (result.kind === "compacted") {
       this.synced = false;
--- a/src/serving/token-balance.ts
+++ b/src/serving/token-balance.ts
@@ -8,7 +8,7 @@
  * starts empty, so a restart grants neither the burst nor the overdraft a second time. Pure.
  * @module
  */
-import * as budget from "../store/budget.js";
+import * as tokenBucket from "../store/token-bucket.js";
 
 /** A cap: units (requests or tokens) per second, and the burst that may be used at once. */
 export interface Cap {
@@ -59,7 +59,7 @@
 }
 
 /** A balance as the token bucket of an owner with `part` of the hosts. */
-function bucketOf(a: Balance, cap: Cap, part: number): budget.Bucket {
+function bucketOf(a: Balance, cap: Cap, part: number): tokenBucket.Bucket {
   return { rate: cap.perS * part, size: bucketSize(cap, part), tokens: a.level, at: a.at };
 }
 
@@ -68,7 +68,7 @@
  * for that part are kept, so that hosts reconnecting all at once don't lose them.
  */
 export function refill(a: Balance, cap: Cap, part: number, now: number): Balance {
-  const { tokens, at } = budget.fill(bucketOf(a, cap, part), now);
+  const { tokens, at } = tokenBucket.refill(bucketOf(a, cap, part), now);
   return { level: Math.min(Math.max(a.level, tokens), bucketSize(cap, 1)), at };
 }
 
@@ -98,7 +98,7 @@
   for (const [granted, units] of wants.entries()) {
     const needed = neededFor(units, cap, part, overdraft);
     if (needed === undefined) return { left, granted, delaysMs, waitMs: undefined };
-    const taken = budget.take(bucketOf(left, cap, part), left.at, needed);
+    const taken = tokenBucket.take(bucketOf(left, cap, part), left.at, needed);
     const waitMs = taken.ok ? 0 : taken.waitMs;
     if (waitMs > patienceMs) return { left, granted, delaysMs, waitMs };
     delaysMs.push(waitMs);
--- a/src/store/etcd.ts
+++ b/src/store/etcd.ts
@@ -5,7 +5,7 @@
  */
 import * as undici from "undici";
 import * as zod from "zod";
-import * as budget from "./budget.js";
+import * as tokenBucket from "./token-bucket.js";
 import * as outcome from "../request/outcome.js";
 import type * as store from "./store.js";
 
@@ -54,7 +54,7 @@
   /** Milliseconds after which a call fails; for a watch this bounds only its start. */
   readonly timeoutMs: number;
   /** Takes one token per call; see {@link tokenBucket}. */
-  readonly spend: budget.Spend;
+  readonly spend: tokenBucket.SpendCall;
 }
 
 function toEntry(e: zod.infer<typeof kv>): store.Entry {
--- a/src/store/journal.ts
+++ b/src/store/journal.ts
@@ -10,11 +10,11 @@
 import type * as store from "./store.js";
 
 /** Prefix of all keys that the system writes. */
-export const ROOT = "/sumacfield/";
+export const KEY_PREFIX = "/sumacfield/";
 /** Key of the head. */
-export const HEAD = `${ROOT}intent/head`;
-const LOG_PREFIX = `${ROOT}intent/log/`;
-const SNAPSHOT_PREFIX = `${ROOT}intent/snapshot/`;
+export const HEAD_KEY = `${KEY_PREFIX}intent/head`;
+const LOG_PREFIX = `${KEY_PREFIX}intent/log/`;
+const SNAPSHOT_PREFIX = `${KEY_PREFIX}intent/snapshot/`;
 /** Width to which numbers in keys are zero-padded, so that keys sort by number. */
 const KEY_DIGITS = 12;
 /** Maximum number of changesets read in one call. */
@@ -23,9 +23,9 @@
  * Maximum length of a changeset or of one part of a snapshot, in characters of JSON. The store accepts
  * values of up to one megabyte.
  */
-export const VALUE_LIMIT = 900_000;
+export const MAX_VALUE_LENGTH = 900_000;
 /** Number of changesets since the last snapshot after which the next writer makes another. */
-export const SNAPSHOT_EVERY = 200;
+export const SNAPSHOT_INTERVAL = 200;
 
 const headSchema = zod.object({
   revision: zod.int().nonnegative(),
@@ -53,7 +53,7 @@
 export async function readHead(
   st: store.Store,
 ): Promise<{ readonly head: Head; readonly revision: number }> {
-  const entry = await st.read(HEAD);
+  const entry = await st.read(HEAD_KEY);
   if (!entry) return { head: { revision: 0, id: "" }, revision: 0 };
   return { head: parseHead(entry.value), revision: entry.revision };
 }
@@ -104,7 +104,7 @@
 }
 
 /** The result of an attempt to append a changeset. */
-export type Added =
+export type AppendResult =
   | { readonly kind: "accepted"; readonly revision: number }
   /** The changeset does not follow the head; `head` is the head's revision. */
   | { readonly kind: "conflict"; readonly head: number }
@@ -115,11 +115,11 @@
  * Appends a changeset that follows revision `change.revision - 1`. After a lost reply, reads the log to
  * find out whether this attempt was written.
  */
-export async function add(st: store.Store, change: intent.Changeset): Promise<Added> {
+export async function append(st: store.Store, change: intent.Changeset): Promise<AppendResult> {
   const value = JSON.stringify(change);
-  if (value.length > VALUE_LIMIT) {
+  if (value.length > MAX_VALUE_LENGTH) {
     throw new RangeError(
-      `the changeset has ${value.length} bytes, more than the ${VALUE_LIMIT} that the store accepts for one key; split it into several`,
+      `the changeset has ${value.length} bytes, more than the ${MAX_VALUE_LENGTH} that the store accepts for one key; split it into several`,
     );
   }
   try {
@@ -129,22 +129,25 @@
     }
     const next: Head = { ...head, revision: change.revision, id: change.id };
     const result = await st.commit({
-      compares: [{ key: HEAD, revision }],
+      compares: [{ key: HEAD_KEY, revision }],
       puts: [
-        { key: HEAD, value: JSON.stringify(next) },
+        { key: HEAD_KEY, value: JSON.stringify(next) },
         { key: logKey(change.revision), value },
       ],
     });
     if (result.ok) return { kind: "accepted", revision: change.revision };
-    return await settle(st, change);
+    return await checkAppended(st, change);
   } catch (err) {
     if (!(err instanceof outcome.StepError)) throw err;
-    return settle(st, change).catch(() => ({ kind: "unknown", why: err.message }) as const);
+    return checkAppended(st, change).catch(() => ({ kind: "unknown", why: err.message }) as const);
   }
 }
 
 /** Reads the log to find out whether `change` was appended, after a reply was lost. */
-export async function settle(st: store.Store, change: intent.Changeset): Promise<Added> {
+export async function checkAppended(
+  st: store.Store,
+  change: intent.Changeset,
+): Promise<AppendResult> {
   const entry = await st.read(logKey(change.revision));
   if (entry && intent.changeset.parse(JSON.parse(entry.value)).id === change.id) {
     return { kind: "accepted", revision: change.revision };
@@ -157,10 +160,10 @@
  * Writes a snapshot of `current` and points the head to it, if the last snapshot is at least `every`
  * revisions older. Returns whether it was written.
  */
-export async function snapshot(
+export async function writeSnapshotIfDue(
   st: store.Store,
   current: intent.Intent,
-  every = SNAPSHOT_EVERY,
+  every = SNAPSHOT_INTERVAL,
 ): Promise<boolean> {
   const { head, revision } = await readHead(st);
   const since = current.revision - (head.snapshot?.revision ?? 0);
@@ -172,7 +175,7 @@
  * Replaces the intent in the store by `current`, as after the store lost data. Does nothing and returns
  * false if the store has a newer revision.
  */
-export async function replace(st: store.Store, current: intent.Intent): Promise<boolean> {
+export async function replaceIntent(st: store.Store, current: intent.Intent): Promise<boolean> {
   const { head, revision } = await readHead(st);
   if (head.revision > current.revision) return false;
   return writeSnapshot(st, current, { revision: current.revision, id: current.id }, revision);
@@ -194,8 +197,8 @@
     snapshot: { revision: current.revision, id: current.id, parts: parts.length },
   };
   const result = await st.commit({
-    compares: [{ key: HEAD, revision }],
-    puts: [{ key: HEAD, value: JSON.stringify(next) }],
+    compares: [{ key: HEAD_KEY, revision }],
+    puts: [{ key: HEAD_KEY, value: JSON.stringify(next) }],
   });
   return result.ok;
 }
@@ -207,7 +210,7 @@
   let size = 0;
   for (const o of all) {
     const text = JSON.stringify(o);
-    if (size + text.length > VALUE_LIMIT) {
+    if (size + text.length > MAX_VALUE_LENGTH) {
       parts.push(`[${part.join(",")}]`);
       part = [];
       size = 0;
--- a/src/store/lease.ts
+++ b/src/store/lease.ts
@@ -66,7 +66,7 @@
 const MAX_TRUSTED = 16;
 
 /** Acquires the lease and keeps it alive; one per endpoint daemon. */
-export class Holder {
+export class LeaseHolder {
   private readonly stateMachine = xstate.createActor(machine);
   private lease: store.Lease | undefined;
   private lastFencingNumber = 0;
@@ -82,11 +82,11 @@
   }
 
   private get holderKey(): string {
-    return `${journal.ROOT}holders/${this.opts.endpoint}`;
+    return `${journal.KEY_PREFIX}holders/${this.opts.endpoint}`;
   }
 
   private get lastHolderKey(): string {
-    return `${journal.ROOT}last-holders/${this.opts.endpoint}`;
+    return `${journal.KEY_PREFIX}last-holders/${this.opts.endpoint}`;
   }
 
   /** Whether the lease is held, has lapsed, was lost to another daemon, or was never held. */
@@ -101,7 +101,7 @@
   }
 
   /** The fencing number of the last lease held; 0 if there was none. */
-  fence(): number {
+  fencingNumber(): number {
     return this.lastFencingNumber;
   }
 
@@ -109,17 +109,17 @@
    * Whether the former holder with this epoch certainly sends no more orders to the engine: it handed
    * over, and so did every holder after it.
    */
-  trusts(epoch: string): boolean {
+  hasHandedOver(epoch: string): boolean {
     return this.trusted.includes(epoch);
   }
 
   /** Milliseconds between two calls of {@link renewOrAcquire}. */
-  get everyMs(): number {
+  get renewIntervalMs(): number {
     return this.opts.ttlMs / KEEPALIVES_PER_TTL;
   }
 
   /** Renews the lease, or tries to acquire it. Throws when the store does not answer. */
-  async step(): Promise<void> {
+  async renewOrAcquire(): Promise<void> {
     if (this.lease && this.state() !== "lost") {
       const sentAt = this.deps.clock.mono();
       const remainingMs = await this.deps.store.keepAlive(this.lease.id);
--- a/src/store/source.ts
+++ b/src/store/source.ts
@@ -17,7 +17,7 @@
   | { readonly kind: "deleted"; readonly key: string; readonly revision: number };
 
 /** The result of waiting for changes. */
-export type Changes =
+export type ChangesResult =
   | { readonly kind: "changes"; readonly changes: readonly Change[]; readonly revision: number }
   /** The store no longer has the requested changes; all documents must be read again. */
   | { readonly kind: "compacted" };
@@ -33,14 +33,14 @@
     signal?: AbortSignal,
   ) => Promise<{ readonly documents: readonly Document[]; readonly revision: number }>;
   /** Waits up to `waitMs` for changes after revision `after` to keys that begin with `prefix`. */
-  readonly changes: (
+  readonly waitForChanges: (
     prefix: string,
     after: number,
     waitMs: number,
     signal?: AbortSignal,
-  ) => Promise<Changes>;
+  ) => Promise<ChangesResult>;
   /** Makes further calls on new connections, since the existing ones may have gone silent. */
-  readonly renew: () => void;
+  readonly replaceConnections: () => void;
   /**
    * Creates a key with value `text` that expires after `ttlMs`. Returns false if the key already exists. Throws
    * when the result is uncertain; the key may then exist.
--- a/src/store/budget.ts
+++ b/src/store/token-bucket.ts
@@ -21,14 +21,14 @@
 }
 
 /** Creates a bucket that is full at time `at`. */
-export function full(rate: number, size: number, at: number): Bucket {
+export function fullBucket(rate: number, size: number, at: number): Bucket {
   if (!(rate > 0) || !(size >= 1))
     throw new RangeError(`invalid token bucket: rate ${rate}, size ${size}`);
   return { rate, size, tokens: size, at };
 }
 
 /** Returns the bucket at time `now`, with the tokens added since. */
-export function fill(b: Bucket, now: number): Bucket {
+export function refill(b: Bucket, now: number): Bucket {
   const added = (Math.max(0, now - b.at) / MS_PER_S) * b.rate;
   return { ...b, tokens: Math.min(b.size, b.tokens + added), at: Math.max(b.at, now) };
 }
@@ -40,7 +40,7 @@
   n = 1,
 ):
   { readonly ok: true; readonly bucket: Bucket } | { readonly ok: false; readonly waitMs: number } {
-  const filled = fill(b, now);
+  const filled = refill(b, now);
   if (filled.tokens >= n) return { ok: true, bucket: { ...filled, tokens: filled.tokens - n } };
   return { ok: false, waitMs: Math.ceil(((n - filled.tokens) / b.rate) * MS_PER_S) };
 }
@@ -48,19 +48,19 @@
 /**
  * Takes one token for the call named `what`. Throws a `StepError` with outcome `not_run` when none is left.
  */
-export type Spend = (what: string) => void;
+export type SpendCall = (what: string) => void;
 
 /** Numbers of calls made and refused, for `status`. */
-export interface Count {
+export interface CallCounts {
   readonly spent: number;
   readonly refused: number;
 }
 
 /** Creates a budget of `rate` calls per second to one peer, and counts the calls. */
-export function meter(clk: clock.Clock, rate: number, peer: string) {
-  let bucket = full(rate, rate, clk.steady());
-  let count: Count = { spent: 0, refused: 0 };
-  const spend: Spend = (what) => {
+export function createCallBudget(clk: clock.Clock, rate: number, peer: string) {
+  let bucket = fullBucket(rate, rate, clk.steady());
+  let count: CallCounts = { spent: 0, refused: 0 };
+  const spend: SpendCall = (what) => {
     const taken = take(bucket, clk.steady());
     if (taken.ok) {
       bucket = taken.bucket;
--- a/test/platform/entries.test.ts
+++ b/test/platform/entries.test.ts
@@ -47,7 +47,7 @@
     return Promise.resolve({ documents, revision: 1 });
   };
 
-  changes = async (): Promise<source.Changes> => {
+  waitForChanges = async (): Promise<source.ChangesResult> => {
     await clock.sleep(clock.system, 1);
     const batch = this.batches.shift() ?? [];
     const changes = batch.map(([key, text]): source.Change => {
@@ -57,7 +57,7 @@
     return { kind: "changes", changes, revision: this.revision };
   };
 
-  renew = (): void => undefined;
+  replaceConnections = (): void => undefined;
   claim = (): Promise<boolean> => Promise.resolve(true);
 }
 
--- a/test/request.test.ts
+++ b/test/request.test.ts
@@ -2,9 +2,9 @@
 import * as fc from "fast-check";
 import * as clock from "../src/host/clock.js";
 import * as log from "../src/host/log.js";
-import * as circuit from "../src/link/circuit.js";
+import * as circuitBreaker from "../src/link/circuit-breaker.js";
 import * as keys from "../src/link/keys.js";
-import * as budget from "../src/store/budget.js";
+import * as tokenBucket from "../src/store/token-bucket.js";
 import type * as store from "../src/store/store.js";
 import * as claims from "../src/request/claims.js";
 import * as outcome from "../src/request/outcome.js";
@@ -91,10 +91,12 @@
     await fc.assert(
       fc.asyncProperty(faults, faults, fc.integer({ min: 2, max: 5 }), async (loses, fails, n) => {
         const shared = unreliableStore(loses, fails);
-        const opts = { windowMs: 1000, batchMs: 0, batch: 2 };
+        const opts = { windowMs: 1000, batchMs: 0, maxBatchSize: 2 };
         const deps = { clock: clock.system, log: log.silent, store: shared };
         const hosts = Array.from({ length: n }, () => new claims.Claims(opts, deps));
-        const made = await Promise.allSettled(hosts.map((h, i) => h.make("levant", "k", `r${i}`)));
+        const made = await Promise.allSettled(
+          hosts.map((h, i) => h.acquire("levant", "k", `r${i}`)),
+        );
         expect(made.filter((m) => m.status === "fulfilled").length).most(1);
         for (const m of made) {
           if (m.status === "rejected") expect(m.reason).instanceOf(outcome.StepError);
@@ -109,32 +111,35 @@
     const inner = unreliableStore([], []);
     const counted = { ...inner, create: (p: readonly store.Put[]) => (calls++, inner.create(p)) };
     const deps = { clock: clock.system, log: log.silent, store: counted };
-    const host = new claims.Claims({ windowMs: 1000, batchMs: 2, batch: 64 }, deps);
-    await Promise.all(Array.from({ length: 40 }, (_, i) => host.make("levant", `k${i}`, `r${i}`)));
+    const host = new claims.Claims({ windowMs: 1000, batchMs: 2, maxBatchSize: 64 }, deps);
+    await Promise.all(
+      Array.from({ length: 40 }, (_, i) => host.acquire("levant", `k${i}`, `r${i}`)),
+    );
     expect(calls).equal(1);
   });
 });
 
 describe("circuit", () => {
   const opts = { failures: 3, openMs: 100, openMaxMs: 400 };
-  const failedTimes = (n: number, now: number): circuit.Circuit => {
-    let c = circuit.CLOSED;
-    for (let i = 0; i < n; i++) c = circuit.failed(c, opts, now);
+  const failedTimes = (n: number, now: number): circuitBreaker.CircuitBreaker => {
+    let c = circuitBreaker.CLOSED;
+    for (let i = 0; i < n; i++) c = circuitBreaker.recordFailure(c, opts, now);
     return c;
   };
 
   it("opens after consecutive failures, and then allows a single trial", () => {
-    expect(circuit.allows(failedTimes(2, 0), 0)).equal(true);
+    expect(circuitBreaker.allows(failedTimes(2, 0), 0)).equal(true);
     const open = failedTimes(3, 0);
-    expect([0, 99, 100].map((now) => circuit.allows(open, now))).eql([false, false, true]);
-    const trial = circuit.sent(open, 100);
-    expect(circuit.allows(trial, 101)).equal(false);
-    expect(circuit.succeeded()).eql(circuit.CLOSED);
+    expect([0, 99, 100].map((now) => circuitBreaker.allows(open, now))).eql([false, false, true]);
+    const trial = circuitBreaker.recordSend(open, 100);
+    expect(circuitBreaker.allows(trial, 101)).equal(false);
+    expect(circuitBreaker.recordSuccess()).eql(circuitBreaker.CLOSED);
   });
 
   it("stays open for longer after each failed trial, up to a maximum", () => {
     let c = failedTimes(3, 0);
-    for (let i = 0; i < 5; i++) c = circuit.failed(circuit.sent(c, 1000), opts, 1000);
+    for (let i = 0; i < 5; i++)
+      c = circuitBreaker.recordFailure(circuitBreaker.recordSend(c, 1000), opts, 1000);
     expect(c).include({ kind: "open", openMs: 400 });
   });
 });
@@ -144,12 +149,12 @@
     const gaps = fc.array(fc.nat(500), { maxLength: 200 });
     fc.assert(
       fc.property(gaps, fc.integer({ min: 1, max: 50 }), (waits, rate) => {
-        let b = budget.full(rate, rate, 0);
+        let b = tokenBucket.fullBucket(rate, rate, 0);
         let now = 0;
         let given = 0;
         for (const ms of waits) {
           now += ms;
-          const taken = budget.take(b, now);
+          const taken = tokenBucket.take(b, now);
           if (!taken.ok) continue;
           given++;
           b = taken.bucket;
@@ -161,20 +166,23 @@
 });
 
 describe("keys", () => {
-  const ring: keys.Keys = ["first-cluster-key-01", "second-cluster-key-2"];
+  const ring: keys.ClusterKeys = ["first-cluster-key-01", "second-cluster-key-2"];
   const signed = { method: "POST", path: "/run", audience: "engine-a", covers: ["x"] };
 
   it("are taken while any of them is in force", () => {
-    const verify = keys.verifier(ring, clock.system);
+    const verify = keys.createVerifier(ring, clock.system);
     verify(keys.sign([ring[1] ?? "", ring[0]], signed, clock.system), signed, "p");
     verify(keys.sign(ring, signed, clock.system), signed, "p");
   });
 
   it("reject a signature that is altered, replayed, expired or made with another key", () => {
-    const verify = keys.verifier(ring, clock.system);
+    const verify = keys.createVerifier(ring, clock.system);
     const header = keys.sign(ring, signed, clock.system);
-    const old = { ...clock.system, now: () => new Date(Date.now() - keys.WINDOW_MS - 1000) };
-    const refused = (h: string | undefined, s: keys.Signed): void => {
+    const old = {
+      ...clock.system,
+      now: () => new Date(Date.now() - keys.SIGNATURE_WINDOW_MS - 1000),
+    };
+    const refused = (h: string | undefined, s: keys.SignedParts): void => {
       expect(() => {
         verify(h, s, "p");
       }).throw(outcome.StepError);
@@ -190,7 +198,7 @@
   });
 
   it("reject any text that is not a signature", () => {
-    const verify = keys.verifier(ring, clock.system);
+    const verify = keys.createVerifier(ring, clock.system);
     fc.assert(
       fc.property(fc.string(), (text) => {
         expect(() => {
--- a/test/serving/feed.test.ts
+++ b/test/serving/feed.test.ts
@@ -42,7 +42,7 @@
     return Promise.resolve({ documents, revision: this.revision });
   };
 
-  changes = async (_prefix: string, after: number): Promise<source.Changes> => {
+  waitForChanges = async (_prefix: string, after: number): Promise<source.ChangesResult> => {
     this.answer();
     if (after < this.compactedRevision) return { kind: "compacted" };
     await clock.sleep(clock.system, 10);
@@ -52,7 +52,7 @@
     return { kind: "changes", changes, revision: this.revision };
   };
 
-  renew = (): void => undefined;
+  replaceConnections = (): void => undefined;
 
   claim = (): Promise<boolean> => Promise.resolve(true);
 
--- a/test/steps/orders.ts
+++ b/test/steps/orders.ts
@@ -95,8 +95,8 @@
 
 const TTL_MS = 1000;
 
-function createHolder(w: world.World, epoch: string): lease.Holder {
-  return new lease.Holder(
+function createHolder(w: world.World, epoch: string): lease.LeaseHolder {
+  return new lease.LeaseHolder(
     { endpoint: "engine-by-hand", epoch, ttlMs: TTL_MS },
     { clock: clock.system, log: log.silent, store: w.site.operator().store },
   );
@@ -104,7 +104,7 @@
 
 world.step("the holder of engine {int} pauses for longer than its lease", async (w, n: number) => {
   const first = createHolder(w, "first");
-  await first.step();
+  await first.renewOrAcquire();
   w.notes.set("first", first);
   w.notes.set("engine", w.site.engines[n - 1]?.url);
   await site.until(() => first.state() === "lapsed");
@@ -120,14 +120,14 @@
 
 world.step("another holder takes the engine", async (w) => {
   const second = createHolder(w, "second");
-  while (second.state() !== "held") await second.step();
-  await openEngine(w).load("notes@1~second.1", "none", second.fence());
+  while (second.state() !== "held") await second.renewOrAcquire();
+  await openEngine(w).load("notes@1~second.1", "none", second.fencingNumber());
 });
 
 world.step("an order of the first holder is refused by the engine", async (w) => {
-  const first = w.notes.get("first") as lease.Holder;
+  const first = w.notes.get("first") as lease.LeaseHolder;
   const refusal = await openEngine(w)
-    .unload("notes@1~second.1", first.fence())
+    .unload("notes@1~second.1", first.fencingNumber())
     .catch((err: unknown) => err);
   expect(refusal).instanceOf(outcome.StepError);
   expect((refusal as outcome.StepError).failure.code).equal("stale_epoch");
