--- a/bench/chaos/commands.ts
+++ b/bench/chaos/commands.ts
@@ -135,7 +135,7 @@
     name: "store down",
     begin: (s) => {
       s.store.store.faults.down = true;
-      s.store.store.cutWatches();
+      s.store.store.closeWatches();
     },
     end: (s) => {
       s.store.store.faults.down = false;
@@ -223,10 +223,10 @@
   {
     name: "loads fail",
     begin: (s) => {
-      s.weights.weights.faults.refuse = true;
+      s.weights.weights.faults.refuseLoads = true;
     },
     end: (s) => {
-      s.weights.weights.faults.refuse = false;
+      s.weights.weights.faults.refuseLoads = false;
     },
   },
   {
--- a/bench/chaos/main.ts
+++ b/bench/chaos/main.ts
@@ -84,7 +84,8 @@
     if (e.kind === "evicted-in-use") return [{ kind: "evicted-in-use", name: e.name }];
     return [];
   });
-  for (const r of s.services?.service.ran ?? []) did.push({ kind: "service", body: r.body });
+  for (const r of s.services?.service.executedCalls ?? [])
+    did.push({ kind: "service", body: r.body });
   seen.push(...real.seen);
   const found = history.violations(real.seen, did);
   if (found.length === 0) return;
@@ -124,6 +125,6 @@
   "AVAILABILITY",
   "CODES",
 ];
-command.out(command.table([head, ...rows]));
-command.out(`Requests: ${seen.length}. Violations: ${broken.length}.`);
+command.printLine(command.formatTable([head, ...rows]));
+command.printLine(`Requests: ${seen.length}. Violations: ${broken.length}.`);
 process.exit(broken.length === 0 ? 0 : 1);
--- a/bench/cost/main.ts
+++ b/bench/cost/main.ts
@@ -8,7 +8,7 @@
 import * as memory from "./memory.js";
 import * as throughput from "./throughput.js";
 
-const out = command.out;
+const out = command.printLine;
 const n = (v: number, digits = 1): string => v.toFixed(digits);
 const parts = process.argv[2]?.split(",") ?? ["decision", "link", "memory", "throughput"];
 
@@ -20,17 +20,17 @@
       rows.push([String(endpoints), String(adapters), n(c.us), n(c.bytes, 0)]);
     }
   }
-  out(command.table(rows));
+  out(command.formatTable(rows));
   const plans = [0, 16, 256].map((w) => {
     const c = decision.planning(w);
     return [String(w), n(c.us), n(c.bytes, 0)];
   });
-  out(command.table([["WAITING", "PLAN US", "BYTES"], ...plans]));
+  out(command.formatTable([["WAITING", "PLAN US", "BYTES"], ...plans]));
   const changes = [3000, 28_000, 280_000].map((a) => {
     const c = decision.change(a);
     return [String(a), n(c.mb), n(c.ms)];
   });
-  out(command.table([["ADAPTERS", "INTENT MB", "CHANGE MS"], ...changes]));
+  out(command.formatTable([["ADAPTERS", "INTENT MB", "CHANGE MS"], ...changes]));
   out(`checking one event of a stream: ${n(decision.checking().us)} us`);
   const news = decision.news();
   out(`news: ${news.wire} bytes, ${n(news.us)} us to write and read`);
@@ -39,7 +39,7 @@
   out(`signing and checking: ${n(link.signing().us)} us`);
   const costs = await link.calls();
   const rows = Object.entries(costs).map(([name, c]) => [name, n(c.cpuUs, 0), n(c.bytes, 0)]);
-  out(command.table([["CONTROL CALL", "CPU US, BOTH ENDS", "BYTES"], ...rows]));
+  out(command.formatTable([["CONTROL CALL", "CPU US, BOTH ENDS", "BYTES"], ...rows]));
 }
 if (parts.includes("memory")) {
   const rows = [["ADAPTERS", "ENTRY DAEMON RSS MB", "STORE CALLS TO START"]];
@@ -47,7 +47,7 @@
     const s = await memory.start(adapters);
     rows.push([String(adapters), n(s.rssMb, 0), String(s.storeCalls)]);
   }
-  out(command.table(rows));
+  out(command.formatTable(rows));
 }
 if (parts.includes("throughput")) {
   const head = [
@@ -72,6 +72,6 @@
     n(p.entry.cpuUs, 0),
     n(p.bare.cpuUs, 0),
   ]);
-  out(command.table([head, ...rows]));
+  out(command.formatTable([head, ...rows]));
 }
 process.exit(0);
--- a/bench/cost/memory.ts
+++ b/bench/cost/memory.ts
@@ -26,13 +26,13 @@
   const list = await hostLists.start();
   const st = etcd.open({ url: store.url, timeoutMs: 10_000, spend: () => undefined });
   await journal.replaceIntent(st, decision.intentOf(600, adapters));
-  store.store.calls.clear();
+  store.store.callCounts.clear();
   const front = await proc.entry(store.url, list.url, { storeCheckMs: "60000" });
   await new Promise((r) => setTimeout(r, SETTLE_MS));
   const text = await fs.readFile(`/proc/${front.pid}/status`, "utf8");
   const rssKb = Number(/VmRSS:\s+(\d+)/.exec(text)?.[1]);
   front.end();
   await Promise.all([store.close(), list.close()]);
-  const storeCalls = [...store.store.calls.values()].reduce((sum, n) => sum + n, 0);
+  const storeCalls = [...store.store.callCounts.values()].reduce((sum, n) => sum + n, 0);
   return { adapters, rssMb: rssKb / 1024, storeCalls };
 }
--- a/bench/limits/main.ts
+++ b/bench/limits/main.ts
@@ -43,4 +43,4 @@
     }
   }
 }
-command.out(command.table(rows));
+command.printLine(command.formatTable(rows));
--- a/bench/measure/report.ts
+++ b/bench/measure/report.ts
@@ -208,7 +208,7 @@
       ]);
     }
   }
-  return command.table(out);
+  return command.formatTable(out);
 }
 
 const WIDTH = 900;
--- a/bench/site.ts
+++ b/bench/site.ts
@@ -168,7 +168,7 @@
   }
 
   /** Starts engine `i` without a daemon beside it. */
-  async engineAlone(i: number): Promise<server.Running> {
+  async engineAlone(i: number): Promise<server.RunningServer> {
     this.engines[i] ??= await engines.start({
       slots: this.plan.slots ?? 4,
       seats: this.plan.seats ?? 4,
@@ -330,7 +330,7 @@
   }
 
   /** Everything the engines did, one after the other. */
-  journal(): readonly engines.Event[] {
+  journal(): readonly engines.EngineEvent[] {
     return this.engines.flatMap((e) => e.engine.journal);
   }
 
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -69,7 +69,7 @@
   const counts = new Map<string, number>();
   for (const w of words) counts.set(w, (counts.get(w) ?? 0) + 1);
   const rows = [...counts].sort().map(([w, n]) => [w, String(n)]);
-  command.out(command.table([[title, "TIMES"], ...rows]));
+  command.printLine(command.formatTable([[title, "TIMES"], ...rows]));
 }
 
 const { seed: first, seeds, minutes: usual } = cli.flags;
@@ -96,13 +96,13 @@
   broken += found.length;
   endings.push(...h.seen.map((s) => `${s.kind} ${history.ending(s)}`));
   troubles.push(...h.disturbances.map((d) => d.kind));
-  command.out(
+  command.printLine(
     `seed ${seed}: ${h.seen.length} requests, ${h.disturbances.length} troubles, ` +
       `${found.length} violations`,
   );
-  for (const line of found.slice(0, 20)) command.out(`  ${line}`);
+  for (const line of found.slice(0, 20)) command.printLine(`  ${line}`);
 }
 tally("KIND AND ENDING", endings);
 tally("TROUBLE", troubles);
-command.out(`Requests: ${endings.length}. Violations: ${broken}.`);
+command.printLine(`Requests: ${endings.length}. Violations: ${broken}.`);
 process.exit(broken === 0 ? 0 : 1);
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -21,7 +21,7 @@
   refused: 4,
   unknown: 5,
 } as const;
-export type Exit = (typeof EXIT)[keyof typeof EXIT];
+export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
 
 /** A command of the command line. */
 export interface Command {
@@ -34,7 +34,7 @@
   readonly settings: Readonly<Record<string, settings.Setting<unknown>>>;
   /** Flags other than settings. */
   readonly flags?: Readonly<Record<string, Flag>>;
-  readonly run: (input: Input) => Promise<Exit>;
+  readonly run: (input: Input) => Promise<ExitCode>;
 }
 
 /** A flag of a command, as meow takes it. */
@@ -81,7 +81,7 @@
 const POLL_INTERVAL_MS = 50;
 
 /** Connects to the deployment that the settings name. */
-export function open(input: Input): change.Deps {
+export function openDeployment(input: Input): change.Deps {
   const cfg = settings.read(SETTINGS, input.flags, input.env);
   const traffic: controls.Traffic = { bytes: 0 };
   const clk = clock.system;
@@ -99,7 +99,7 @@
 }
 
 /** Parses the arguments that follow the name of command `c`. Exits the process for `--help`. */
-export function parse(c: Command, argv: readonly string[]): Input {
+export function parseInput(c: Command, argv: readonly string[]): Input {
   const flags: Record<string, Flag> = { ...c.flags };
   for (const s of Object.values(c.settings)) flags[s.name] = { type: "string" };
   const cli = meow.default(helpOf(c), {
@@ -125,12 +125,12 @@
 }
 
 /** Prints a line to standard output. */
-export function out(line: string): void {
+export function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
 /** Formats rows as aligned columns; the first row is the header. */
-export function table(rows: readonly (readonly string[])[]): string {
+export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, i) => Math.max(...rows.map((r) => r[i]?.length ?? 0)));
   return rows
     .map((r) =>
--- a/src/cli/daemons.ts
+++ b/src/cli/daemons.ts
@@ -12,7 +12,7 @@
 work in progress finish. The second one stops it at once.`;
 
 /** Waits for a signal, then stops gracefully; a second signal exits the process at once. */
-async function runUntilSignal(stop: () => Promise<void>): Promise<command.Exit> {
+async function runUntilSignal(stop: () => Promise<void>): Promise<command.ExitCode> {
   await new Promise<void>((resolve) => {
     process.once("SIGTERM", resolve);
     process.once("SIGINT", resolve);
--- a/src/cli/look.ts
+++ b/src/cli/inspect.ts
@@ -52,7 +52,7 @@
   settings: command.SETTINGS,
   flags: { json: { type: "boolean" } },
   run: async (input) => {
-    const deps = command.open(input);
+    const deps = command.openDeployment(input);
     const listed = await deps.hosts.list();
     const statuses: readonly MemberStatus[] = await Promise.all(
       listed.map(async (member) => {
@@ -60,8 +60,8 @@
         return { member, status: await query.catch(() => undefined) };
       }),
     );
-    if (input.flags.json) command.out(JSON.stringify(statuses, null, 2));
-    else command.out(command.table([HEADER, ...statuses.map(toRow)]));
+    if (input.flags.json) command.printLine(JSON.stringify(statuses, null, 2));
+    else command.printLine(command.formatTable([HEADER, ...statuses.map(toRow)]));
     const newest = Math.max(...statuses.map((s) => s.status?.revision ?? 0));
     const allCurrent = statuses.every((s) => s.status?.revision === newest);
     return allCurrent ? command.EXIT.done : command.EXIT.notInForce;
@@ -78,10 +78,11 @@
   run: async (input) => {
     const [caller, model] = input.args;
     if (!caller || !model) throw new command.UsageError("CALLER and ADAPTER are required.");
-    const deps = command.open(input);
+    const deps = command.openDeployment(input);
     const entry = (await deps.hosts.list()).find((m) => m.role === "entry" && !m.leaving);
     if (!entry) throw new command.UsageError("The list of hosts has no entry daemon.");
-    for (const line of await deps.peer(entry).explain.query({ caller, model })) command.out(line);
+    for (const line of await deps.peer(entry).explain.query({ caller, model }))
+      command.printLine(line);
     return command.EXIT.done;
   },
 };
--- a/src/cli/intent.ts
+++ b/src/cli/intent.ts
@@ -50,31 +50,33 @@
 }
 
 /** Prints the outcome of a change and returns its exit code. */
-function report(result: change.Applied): command.Exit {
+function report(result: change.Applied): command.ExitCode {
   switch (result.kind) {
     case "unchanged":
-      command.out(`Nothing to change; revision ${result.revision} is the newest.`);
+      command.printLine(`Nothing to change; revision ${result.revision} is the newest.`);
       return command.EXIT.done;
     case "in_force":
-      command.out(`Revision ${result.revision} is in force everywhere, after ${result.ms} ms.`);
+      command.printLine(
+        `Revision ${result.revision} is in force everywhere, after ${result.ms} ms.`,
+      );
       return command.EXIT.done;
     case "accepted":
-      command.out(`Revision ${result.revision} is accepted, and not yet seen in force at:`);
-      for (const name of result.missing) command.out(`  ${name}`);
-      command.out("It will not be lost; `sumacfield status` shows who has it.");
+      command.printLine(`Revision ${result.revision} is accepted, and not yet seen in force at:`);
+      for (const name of result.missing) command.printLine(`  ${name}`);
+      command.printLine("It will not be lost; `sumacfield status` shows who has it.");
       return command.EXIT.notInForce;
     case "refused":
-      command.out("Refused: somebody else changed these meanwhile (- theirs, + yours):");
-      for (const d of result.differences) command.out(formatDifference(d));
+      command.printLine("Refused: somebody else changed these meanwhile (- theirs, + yours):");
+      for (const d of result.differences) command.printLine(formatDifference(d));
       return command.EXIT.refused;
     case "store_behind":
-      command.out(
+      command.printLine(
         `Refused: the store is at revision ${result.store}, but daemons have ${result.daemons} in force. Run \`sumacfield restore\` first.`,
       );
       return command.EXIT.refused;
     case "unknown":
-      command.out(`Not known whether it was accepted: ${result.why}`);
-      command.out(`Settle it with \`sumacfield settle ${result.revision} ${result.id}\`.`);
+      command.printLine(`Not known whether it was accepted: ${result.why}`);
+      command.printLine(`Settle it with \`sumacfield settle ${result.revision} ${result.id}\`.`);
       return command.EXIT.unknown;
   }
 }
@@ -91,7 +93,7 @@
   flags: FILE_FLAG,
   run: async (input) => {
     const puts = await files.read(filePaths(input));
-    return report(await change.apply({ puts, deletes: [] }, command.open(input)));
+    return report(await change.apply({ puts, deletes: [] }, command.openDeployment(input)));
   },
 };
 
@@ -104,10 +106,12 @@
   flags: FILE_FLAG,
   run: async (input) => {
     const puts = await files.read(filePaths(input));
-    const now = await latestIntent(command.open(input));
+    const now = await latestIntent(command.openDeployment(input));
     const found = change.differences(now, { puts, deletes: [] });
-    for (const d of found) command.out(formatDifference(d));
-    command.out(`${found.length} of ${puts.length} objects differ from revision ${now.revision}.`);
+    for (const d of found) command.printLine(formatDifference(d));
+    command.printLine(
+      `${found.length} of ${puts.length} objects differ from revision ${now.revision}.`,
+    );
     return command.EXIT.done;
   },
 };
@@ -121,11 +125,11 @@
   flags: { json: { type: "boolean" } },
   run: async (input) => {
     const kind = parseKind(input.args[0]);
-    const now = await latestIntent(command.open(input));
+    const now = await latestIntent(command.openDeployment(input));
     const name = input.args[1];
     const found = intents.list(now, kind).filter((o) => !name || o.metadata.name === name);
     if (input.flags.json) {
-      command.out(JSON.stringify(found, null, 2));
+      command.printLine(JSON.stringify(found, null, 2));
       return command.EXIT.done;
     }
     const rows = found.map((o) => [
@@ -134,7 +138,7 @@
         .map(([k, v]) => `${k}=${v}`)
         .join(","),
     ]);
-    command.out(command.table([["NAME", "LABELS"], ...rows]));
+    command.printLine(command.formatTable([["NAME", "LABELS"], ...rows]));
     return command.EXIT.done;
   },
 };
@@ -146,7 +150,9 @@
   help: `Shows one object as YAML, in the form that \`apply\` takes.`,
   settings: command.SETTINGS,
   run: async (input) => {
-    command.out(yaml.stringify(await findObject(command.open(input), input)).trimEnd());
+    command.printLine(
+      yaml.stringify(await findObject(command.openDeployment(input), input)).trimEnd(),
+    );
     return command.EXIT.done;
   },
 };
@@ -156,8 +162,8 @@
   kind: string | undefined,
   name: string | undefined,
   edits: readonly string[],
-): Promise<command.Exit> {
-  const deps = command.open(input);
+): Promise<command.ExitCode> {
+  const deps = command.openDeployment(input);
   const found = await findObject(deps, { ...input, args: [kind ?? "", name ?? ""] });
   const labels = { ...found.metadata.labels };
   for (const edit of edits) {
@@ -209,7 +215,7 @@
   help: `Removes one object from the intent. Requests in flight finish as they started.`,
   settings: command.SETTINGS,
   run: async (input) => {
-    const deps = command.open(input);
+    const deps = command.openDeployment(input);
     const found = await findObject(deps, input);
     return report(await change.apply({ puts: [], deletes: [objects.keyOf(found)] }, deps));
   },
@@ -225,7 +231,7 @@
   help: `Shows the last ${HISTORY_LENGTH} changes kept, or those after REVISION.`,
   settings: command.SETTINGS,
   run: async (input) => {
-    const deps = command.open(input);
+    const deps = command.openDeployment(input);
     const { head } = await journal.readHead(deps.store);
     const from = Number(input.args[0] ?? Math.max(0, head.revision - HISTORY_LENGTH));
     if (!Number.isInteger(from) || from < 0) {
@@ -238,7 +244,7 @@
       c.by,
       [...c.puts.map(objects.keyOf), ...c.deletes.map((k) => `-${k}`)].slice(0, 5).join(" "),
     ]);
-    command.out(command.table([["REVISION", "AT", "BY", "OBJECTS"], ...rows]));
+    command.printLine(command.formatTable([["REVISION", "AT", "BY", "OBJECTS"], ...rows]));
     return command.EXIT.done;
   },
 };
@@ -252,10 +258,10 @@
   run: async (input) => {
     const [revision, id] = input.args;
     if (!revision || !id) throw new command.UsageError("REVISION and ID are required.");
-    const deps = command.open(input);
+    const deps = command.openDeployment(input);
     const found = await change.settle(Number(revision), id, deps);
     if (found === "not_accepted") {
-      command.out("It was not accepted, and can be applied again.");
+      command.printLine("It was not accepted, and can be applied again.");
       return command.EXIT.refused;
     }
     return report(await change.inForce(Number(revision), deps.clock.mono(), deps));
@@ -270,8 +276,8 @@
 still have in force. The intent never goes back.`,
   settings: command.SETTINGS,
   run: async (input) => {
-    const revision = await change.restore(command.open(input));
-    command.out(`The store is at revision ${revision}.`);
+    const revision = await change.restore(command.openDeployment(input));
+    command.printLine(`The store is at revision ${revision}.`);
     return command.EXIT.done;
   },
 };
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -8,13 +8,13 @@
 import * as command from "./command.js";
 import * as daemons from "./daemons.js";
 import * as intent from "./intent.js";
-import * as look from "./look.js";
+import * as inspect from "./inspect.js";
 
 const COMMANDS: readonly command.Command[] = [
   daemons.entryCommand,
   daemons.endpointCommand,
   ...intent.commands,
-  ...look.commands,
+  ...inspect.commands,
 ];
 
 function overview(): string {
@@ -25,22 +25,22 @@
   sumacfield COMMAND [ARGUMENTS] [--help]
 
 Commands
-${command.table(rows)}
+${command.formatTable(rows)}
 
 Exit codes
   0 done   1 failed   2 wrong usage or setting   3 accepted, not yet in force everywhere
   4 refused   5 not known whether it was accepted`;
 }
 
-async function main(argv: readonly string[]): Promise<command.Exit> {
+async function main(argv: readonly string[]): Promise<command.ExitCode> {
   const [name, ...rest] = argv;
   if (name === undefined || name === "--help" || name === "help") {
-    command.out(overview());
+    command.printLine(overview());
     return name === undefined ? command.EXIT.usage : command.EXIT.done;
   }
   const found = COMMANDS.find((c) => c.name === name);
   if (!found) throw new command.UsageError(`There is no command ${name}; see sumacfield --help.`);
-  return found.run(command.parse(found, rest));
+  return found.run(command.parseInput(found, rest));
 }
 
 main(process.argv.slice(2)).then(
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -101,12 +101,17 @@
 async function run(): Promise<void> {
   const startedAt = performance.now();
   const [store, hosts, weights, service, ...engines] = await Promise.all([
-    processes.standIn("store", {}),
-    processes.standIn("hosts", {}),
-    processes.standIn("weights", { loadMs: LOAD_MS }),
-    processes.standIn("service", {}),
+    processes.startStandIn("store", {}),
+    processes.startStandIn("hosts", {}),
+    processes.startStandIn("weights", { loadMs: LOAD_MS }),
+    processes.startStandIn("service", {}),
     ...DOMAINS.map(() =>
-      processes.standIn("engine", { slots: 3, seats: 8, stepMs: STEP_MS, baseModel: "base-7b" }),
+      processes.startStandIn("engine", {
+        slots: 3,
+        seats: 8,
+        stepMs: STEP_MS,
+        baseModel: "base-7b",
+      }),
     ),
   ]);
   const hostListAddress = hosts.addresses[0] ?? "";
@@ -121,7 +126,7 @@
   };
   printLine("Stand-ins run: a store, a list of hosts, a weight store, a service, three engines.");
   const file = await writeIntentFile(weights.addresses[0] ?? "");
-  const applyResult = await processes.command(["apply", "-f", file], env);
+  const applyResult = await processes.runCommand(["apply", "-f", file], env);
   check(
     `apply ended with ${String(applyResult.code)}: ${applyResult.text}`,
     applyResult.code === 0,
@@ -132,13 +137,13 @@
     name: string,
     domain: string,
     backend?: string,
-  ): Promise<processes.Running> => {
+  ): Promise<processes.DemoProcess> => {
     const daemonEnv = {
       ...env,
       SUMACFIELD_FAILURE_DOMAIN: domain,
       ...(backend && { SUMACFIELD_BACKEND_URL: `http://${backend}` }),
     };
-    const daemon = await processes.daemon(role, name, daemonEnv);
+    const daemon = await processes.startDaemon(role, name, daemonEnv);
     const address = daemon.addresses.at(-1) ?? "";
     await registerMember(hostListAddress, {
       name,
@@ -159,7 +164,7 @@
   ]);
   const entries = daemons.slice(-2).map((d) => d.addresses[0] ?? "");
   for (;;) {
-    const { code, text } = await processes.command(["status"], env);
+    const { code, text } = await processes.runCommand(["status"], env);
     if (code === 0 && !/learning|without/.test(text)) break;
     check(
       "the daemons did not begin to serve in time",
@@ -167,7 +172,7 @@
     );
   }
   printLine("Daemons serve: two entry daemons, four endpoint daemons.");
-  const labelResult = await processes.command(["label", "host", "host-a", "rack=r1"], env);
+  const labelResult = await processes.runCommand(["label", "host", "host-a", "rack=r1"], env);
   check(
     `label ended with ${String(labelResult.code)}: ${labelResult.text}`,
     labelResult.code === 0,
@@ -196,7 +201,7 @@
     },
   );
   await serviceResponse.body.dump();
-  const explainResult = await processes.command(["explain", "wattle", "captions-en"], env);
+  const explainResult = await processes.runCommand(["explain", "wattle", "captions-en"], env);
 
   printLine(
     `Requests: ${REQUEST_COUNT}. Right and whole: ${tally.correct}. Wrong: ${tally.incorrect}.`,
@@ -221,5 +226,5 @@
   printLine(err instanceof Error ? err.message : String(err));
   process.exitCode = 1;
 } finally {
-  await processes.endAll();
+  await processes.killAll();
 }
--- a/src/demo/process.ts
+++ b/src/demo/process.ts
@@ -11,7 +11,7 @@
 const STAND_IN = resolvePath("../standin/main.js");
 
 /** A running process of the demo. */
-export interface Running {
+export interface DemoProcess {
   readonly name: string;
   /** Addresses (`ip:port`) that it printed when it began to listen. */
   readonly addresses: readonly string[];
@@ -33,7 +33,7 @@
     proc.once("exit", resolve);
   });
   children.push({ proc, ended });
-  const running = (addresses: readonly string[]): Running => ({
+  const running = (addresses: readonly string[]): DemoProcess => ({
     name,
     addresses,
     ended,
@@ -45,7 +45,7 @@
 }
 
 /** Starts a stand-in and waits until it prints its address. */
-export async function standIn(kind: string, options: object): Promise<Running> {
+export async function startStandIn(kind: string, options: object): Promise<DemoProcess> {
   const { proc, running } = spawn(kind, STAND_IN, [kind, JSON.stringify(options)], {});
   proc.stderr.pipe(process.stderr);
   for await (const line of readline.createInterface({ input: proc.stdout })) {
@@ -56,11 +56,11 @@
 }
 
 /** Starts a daemon and waits until it logs the addresses it listens on. */
-export async function daemon(
+export async function startDaemon(
   role: "entry" | "endpoint",
   name: string,
   env: NodeJS.ProcessEnv,
-): Promise<Running> {
+): Promise<DemoProcess> {
   const daemonEnv = { ...env, SUMACFIELD_NAME: name, SUMACFIELD_LOG_FORMAT: "json" };
   const { proc, running } = spawn(name, CLI, [role], daemonEnv);
   const lines = readline.createInterface({ input: proc.stderr });
@@ -79,7 +79,7 @@
 }
 
 /** Runs one command of the command line, and returns its exit code and all its output. */
-export async function command(
+export async function runCommand(
   args: readonly string[],
   env: NodeJS.ProcessEnv,
 ): Promise<{ readonly code: number | null; readonly text: string }> {
@@ -96,7 +96,7 @@
 }
 
 /** Kills every process that still runs, and waits for it to exit. */
-export async function endAll(): Promise<void> {
+export async function killAll(): Promise<void> {
   for (const { proc } of children) if (proc.exitCode === null) proc.kill("SIGKILL");
   await Promise.all(children.map((s) => s.ended));
 }
--- a/src/operator/quarantines.ts
+++ b/src/operator/quarantine-admin.ts
@@ -17,7 +17,7 @@
 }
 
 /** A request in quarantine. */
-export interface Entry {
+export interface QuarantinedRequest {
   readonly identity: string;
   /** Undefined if the evidence stored under the key cannot be read. */
   readonly evidence: quarantine.Evidence | undefined;
@@ -36,7 +36,7 @@
 }
 
 /** Lists all requests in quarantine. */
-export async function list(deps: Deps): Promise<readonly Entry[]> {
+export async function list(deps: Deps): Promise<readonly QuarantinedRequest[]> {
   const { documents } = await deps.source.list(quarantine.PREFIX);
   return documents.map((d) => ({
     identity: quarantine.identityOf(d.key) ?? "",
--- a/src/standin/engine.ts
+++ b/src/standin/engine.ts
@@ -9,7 +9,7 @@
 import * as server from "./server.js";
 
 /** Settings of an engine. */
-export interface Options {
+export interface EngineOptions {
   readonly slots: number;
   readonly seats: number;
   /** Milliseconds of one step, in which each running request gets one token. */
@@ -20,11 +20,11 @@
 }
 
 /** Failures to inject into the engine. */
-export interface Faults {
+export interface EngineFaults {
   /** Number of coming orders that take effect but whose replies are lost. */
   loseReplies: number;
   /** Milliseconds that the next order waits before it takes effect, even if its caller disconnects. */
-  delayOrderMs: number;
+  orderDelayMs: number;
   /** Whether loads are refused. */
   refuseLoads: boolean;
   /** Number of coming answers that name another model. */
@@ -34,19 +34,19 @@
   /** Number of coming answers that are cut off half-way. */
   breakAnswers: number;
   /** Milliseconds by which the request counts in the metrics lag. */
-  lagMs: number;
+  metricsLagMs: number;
   /** Milliseconds that a cancelled request keeps running. */
-  slowCancelMs: number;
+  cancelDelayMs: number;
   /** Milliseconds that a request takes to arrive at the engine. */
-  slowArrivalMs: number;
+  arrivalDelayMs: number;
   /** Whether steps are suspended, so that no request makes progress. */
   frozen: boolean;
   /** Whether the metrics omit the start time of the process, as engines of several processes do. */
-  noStartTime: boolean;
+  omitStartTime: boolean;
 }
 
 /** An entry of the engine's journal. */
-export type Event =
+export type EngineEvent =
   | { readonly kind: "load" | "unload"; readonly name: string }
   | { readonly kind: "run"; readonly id: string; readonly name: string; readonly prompt: string }
   | { readonly kind: "finish"; readonly id: string }
@@ -84,22 +84,22 @@
 
 /** An engine that serves requests in memory. */
 export class Engine {
-  readonly faults: Faults = {
+  readonly faults: EngineFaults = {
     loseReplies: 0,
-    delayOrderMs: 0,
+    orderDelayMs: 0,
     refuseLoads: false,
     wrongModels: 0,
     wrongIds: 0,
     breakAnswers: 0,
-    lagMs: 0,
-    slowCancelMs: 0,
-    slowArrivalMs: 0,
+    metricsLagMs: 0,
+    cancelDelayMs: 0,
+    arrivalDelayMs: 0,
     frozen: false,
-    noStartTime: false,
+    omitStartTime: false,
   };
-  readonly journal: Event[] = [];
+  readonly journal: EngineEvent[] = [];
   /** The number of seats in use in each step so far. */
-  readonly fill: number[] = [];
+  readonly batchSizes: number[] = [];
   private startedAt = Date.now() / 1000;
   private loaded = new Map<string, string>();
   private running: Sequence[] = [];
@@ -111,7 +111,7 @@
   /** While true, every connection is closed without an answer. */
   down = false;
 
-  constructor(private readonly opts: Options) {}
+  constructor(private readonly opts: EngineOptions) {}
 
   /** Restarts the engine with nothing loaded; cuts off every answer in progress. */
   restart(): void {
@@ -131,16 +131,16 @@
   }
 
   /** Unloads every adapter without an order, as an operator might by hand. */
-  forgetAll(): void {
+  unloadAll(): void {
     this.loaded.clear();
   }
 
   /** The names of the loaded adapters. */
-  names(): readonly string[] {
+  loadedAdapters(): readonly string[] {
     return [...this.loaded.keys()];
   }
 
-  readonly handle: server.Handle = async (req, res, body) => {
+  readonly handle: server.RequestHandler = async (req, res, body) => {
     if (this.down) {
       res.destroy();
       return;
@@ -154,10 +154,10 @@
         res.writeHead(200, { "content-type": "text/plain" }).end(this.metricsText());
         return;
       case "/journal":
-        server.json(res, 200, this.journal);
+        server.sendJson(res, 200, this.journal);
         return;
       case "/v1/models":
-        server.json(res, 200, { object: "list", data: this.modelList() });
+        server.sendJson(res, 200, { object: "list", data: this.modelList() });
         return;
       case "/v1/load_lora_adapter":
       case "/v1/unload_lora_adapter":
@@ -165,19 +165,19 @@
         return;
       case "/v1/completions":
       case "/v1/chat/completions":
-        if (this.faults.slowArrivalMs > 0) {
-          await new Promise((r) => setTimeout(r, this.faults.slowArrivalMs));
+        if (this.faults.arrivalDelayMs > 0) {
+          await new Promise((r) => setTimeout(r, this.faults.arrivalDelayMs));
         }
         this.generate(JSON.parse(body) as CompletionRequest, req, res);
         return;
       default:
-        server.json(res, 404, { error: { message: "no such path" } });
+        server.sendJson(res, 404, { error: { message: "no such path" } });
     }
   };
 
   private modelList(): object[] {
     const base = { id: this.opts.baseModel, object: "model", parent: null };
-    const adapters = this.names().map((id) => ({
+    const adapters = this.loadedAdapters().map((id) => ({
       id,
       object: "model",
       parent: this.opts.baseModel,
@@ -187,7 +187,7 @@
 
   private metricsText(): string {
     return [
-      ...(this.faults.noStartTime ? [] : [`process_start_time_seconds ${this.startedAt}`]),
+      ...(this.faults.omitStartTime ? [] : [`process_start_time_seconds ${this.startedAt}`]),
       `vllm:num_requests_running{model_name="${this.opts.baseModel}"} ${this.reportedCounts.running}`,
       `vllm:num_requests_waiting{model_name="${this.opts.baseModel}"} ${this.reportedCounts.waiting}`,
       "",
@@ -196,8 +196,8 @@
 
   private updateCounts(): void {
     const counts = { running: this.running.length, waiting: this.waiting.length };
-    if (this.faults.lagMs === 0) this.reportedCounts = counts;
-    else setTimeout(() => (this.reportedCounts = counts), this.faults.lagMs);
+    if (this.faults.metricsLagMs === 0) this.reportedCounts = counts;
+    else setTimeout(() => (this.reportedCounts = counts), this.faults.metricsLagMs);
   }
 
   private async executeOrder(
@@ -208,11 +208,11 @@
   ): Promise<void> {
     const fencingNumber = Number(req.headers["x-fencing-token"] ?? 0);
     const startedAt = this.startedAt;
-    const delay = this.faults.delayOrderMs;
-    this.faults.delayOrderMs = 0;
+    const delay = this.faults.orderDelayMs;
+    this.faults.orderDelayMs = 0;
     if (delay > 0) await new Promise((r) => setTimeout(r, delay));
     if (this.opts.fencing && fencingNumber < this.highestFencingNumber) {
-      server.json(res, 409, { error: "old fencing number" });
+      server.sendJson(res, 409, { error: "old fencing number" });
       return;
     }
     this.highestFencingNumber = Math.max(this.highestFencingNumber, fencingNumber);
@@ -224,7 +224,7 @@
       res.destroy();
       return;
     }
-    server.json(res, status, {});
+    server.sendJson(res, status, {});
   }
 
   private async loadAdapter(name: string, path: string, startedAt: number): Promise<number> {
@@ -257,7 +257,7 @@
   ): void {
     const name = request.model;
     if (!this.loaded.has(name)) {
-      server.json(res, 404, { error: { message: `model ${name} does not exist` } });
+      server.sendJson(res, 404, { error: { message: `model ${name} does not exist` } });
       return;
     }
     const id = String(req.headers["x-request-id"]);
@@ -299,7 +299,7 @@
         }
         const text = Array.from({ length: maxTokens }, (_, i) => tokenText(i)).join("");
         const choices = [{ index: 0, text, finish_reason: "stop" }];
-        server.json(res, 200, { ...responseFields, object, choices });
+        server.sendJson(res, 200, { ...responseFields, object, choices });
       },
     };
     this.journal.push({ kind: "run", id, name, prompt });
@@ -310,8 +310,8 @@
         this.waiting = this.waiting.filter((s) => s !== sequence);
         this.updateCounts();
       };
-      if (this.faults.slowCancelMs === 0 || res.writableFinished) removeSequence();
-      else setTimeout(removeSequence, this.faults.slowCancelMs);
+      if (this.faults.cancelDelayMs === 0 || res.writableFinished) removeSequence();
+      else setTimeout(removeSequence, this.faults.cancelDelayMs);
     });
     this.waiting.push(sequence);
     this.waiting.sort((a, b) => a.priority - b.priority);
@@ -331,7 +331,7 @@
   private runStep(): void {
     const freeSeats = this.opts.seats - this.running.length;
     this.running.push(...this.waiting.splice(0, freeSeats));
-    this.fill.push(this.running.length);
+    this.batchSizes.push(this.running.length);
     for (const s of [...this.running]) {
       s.emit(s.generatedTokens);
       s.generatedTokens++;
@@ -345,9 +345,9 @@
 
 /** Starts an engine on `port`, or on a free port if it is 0. */
 export async function start(
-  opts: Options,
+  opts: EngineOptions,
   port = 0,
-): Promise<server.Running & { readonly engine: Engine }> {
+): Promise<server.RunningServer & { readonly engine: Engine }> {
   const engine = new Engine(opts);
   const running = await server.serve(engine.handle, port);
   return {
--- a/src/standin/hosts.ts
+++ b/src/standin/hosts.ts
@@ -7,7 +7,7 @@
 import * as server from "./server.js";
 
 /** The list of hosts. */
-export class Hosts {
+export class HostList {
   /** Milliseconds after which a change appears in the served list. */
   lagMs = 0;
   /** While true, every connection is closed without an answer. */
@@ -36,14 +36,14 @@
     this.set(this.members.filter((m) => m.name !== name));
   }
 
-  readonly handle: server.Handle = (req, res, body) => {
+  readonly handle: server.RequestHandler = (req, res, body) => {
     if (this.down) {
       res.destroy();
       return;
     }
     if (req.method === "POST") {
       this.put(JSON.parse(body) as hosts.Member);
-      server.json(res, 200, {});
+      server.sendJson(res, 200, {});
       return;
     }
     const etag = `"${this.version}"`;
@@ -52,7 +52,10 @@
       return;
     }
     res.setHeader("etag", etag);
-    server.json(res, 200, { kind: "EndpointSliceList", items: this.visibleMembers.map(toSlice) });
+    server.sendJson(res, 200, {
+      kind: "EndpointSliceList",
+      items: this.visibleMembers.map(toSlice),
+    });
   };
 }
 
@@ -66,7 +69,9 @@
 }
 
 /** Starts a list of hosts on `port`, or on a free port if it is 0. */
-export async function start(port = 0): Promise<server.Running & { readonly hosts: Hosts }> {
-  const list = new Hosts();
+export async function start(
+  port = 0,
+): Promise<server.RunningServer & { readonly hosts: HostList }> {
+  const list = new HostList();
   return { ...(await server.serve(list.handle, port)), hosts: list };
 }
--- a/src/standin/main.ts
+++ b/src/standin/main.ts
@@ -18,7 +18,7 @@
   readonly baseModel?: string;
 }
 
-function start(kind: string, options: StandInOptions): Promise<server.Running> {
+function start(kind: string, options: StandInOptions): Promise<server.RunningServer> {
   switch (kind) {
     case "store":
       return store.start();
--- a/src/standin/server.ts
+++ b/src/standin/server.ts
@@ -7,7 +7,7 @@
 import * as outcome from "../request/outcome.js";
 
 /** A running stand-in. */
-export interface Running {
+export interface RunningServer {
   readonly url: string;
   /** `ip:port`. */
   readonly address: string;
@@ -15,14 +15,14 @@
 }
 
 /** Answers one request, whose body has been read. */
-export type Handle = (
+export type RequestHandler = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
   body: string,
 ) => Promise<void> | void;
 
 /** Sends a JSON answer. */
-export function json(res: http.ServerResponse, status: number, value: unknown): void {
+export function sendJson(res: http.ServerResponse, status: number, value: unknown): void {
   const text = JSON.stringify(value);
   const size = Buffer.byteLength(text);
   res.writeHead(status, { "content-type": "application/json", "content-length": size });
@@ -36,13 +36,14 @@
 }
 
 /** Serves `handle` on `port` of 127.0.0.1, or on a free port if it is 0. */
-export async function serve(handle: Handle, port = 0): Promise<Running> {
+export async function serve(handle: RequestHandler, port = 0): Promise<RunningServer> {
   const server = http.createServer((req, res) => {
     readAll(req)
       .then((body) => handle(req, res, body))
       .catch((err: unknown) => {
         if (res.headersSent) res.destroy();
-        else json(res, 500, { error: err instanceof Error ? err.message : "the handler failed" });
+        else
+          sendJson(res, 500, { error: err instanceof Error ? err.message : "the handler failed" });
       });
   });
   await new Promise<void>((resolve) => {
@@ -64,7 +65,7 @@
 }
 
 /** Throws the error for a call that the stand-in does not support. */
-export function unknownCall(call: string): never {
+export function rejectUnknownCall(call: string): never {
   throw outcome.notRun(
     "not_found",
     "stand-in",
--- a/src/standin/store.ts
+++ b/src/standin/store.ts
@@ -55,7 +55,7 @@
 export class Store {
   readonly faults: Faults = { down: false, delayMs: 0, loseReplies: 0 };
   /** The number of calls to each path, watches included. */
-  readonly calls = new Map<string, number>();
+  readonly callCounts = new Map<string, number>();
   private kvs = new Map<string, Kv>();
   private revision = 1;
   private leases = new Map<string, { ttlS: number; expiresAt: number }>();
@@ -71,7 +71,7 @@
   }
 
   /** Closes all open watches, as an outage does. */
-  cutWatches(): void {
+  closeWatches(): void {
     for (const w of this.watches) w.res.destroy();
     this.watches.clear();
   }
@@ -84,7 +84,7 @@
   /** Restores an older copy, as an operator might after data loss. */
   restore(copy: ReadonlyMap<string, Kv>): void {
     this.kvs = new Map(copy);
-    this.cutWatches();
+    this.closeWatches();
   }
 
   private expireLeases(): void {
@@ -96,9 +96,9 @@
     }
   }
 
-  readonly handle: server.Handle = async (req, res, body) => {
+  readonly handle: server.RequestHandler = async (req, res, body) => {
     const path = req.url ?? "";
-    this.calls.set(path, (this.calls.get(path) ?? 0) + 1);
+    this.callCounts.set(path, (this.callCounts.get(path) ?? 0) + 1);
     if (this.faults.delayMs > 0) await new Promise((r) => setTimeout(r, this.faults.delayMs));
     if (this.faults.down) {
       res.destroy();
@@ -116,7 +116,7 @@
       res.destroy();
       return;
     }
-    server.json(res, 200, out);
+    server.sendJson(res, 200, out);
   };
 
   private dispatch(path: string, input: unknown): unknown {
@@ -130,7 +130,7 @@
       case "/v3/lease/keepalive":
         return this.keepAlive(zod.object({ ID: zod.string() }).parse(input).ID);
       default:
-        return server.unknownCall(path);
+        return server.rejectUnknownCall(path);
     }
   }
 
@@ -188,7 +188,7 @@
       const responses = ops.map((o) => this.apply(o, rev, changedKeys));
       return { response_txn: { succeeded, responses } };
     }
-    return server.unknownCall("operation");
+    return server.rejectUnknownCall("operation");
   }
 
   private grant(ttlS: number) {
@@ -226,7 +226,7 @@
 }
 
 /** Starts a store on `port`, or on a free port if it is 0. */
-export async function start(port = 0): Promise<server.Running & { readonly store: Store }> {
+export async function start(port = 0): Promise<server.RunningServer & { readonly store: Store }> {
   const store = new Store();
   const running = await server.serve(store.handle, port);
   return {
--- a/src/standin/weights.ts
+++ b/src/standin/weights.ts
@@ -7,9 +7,9 @@
 /** Failures to inject into the weight store. */
 export interface Faults {
   /** Whether loads are refused. */
-  refuse: boolean;
+  refuseLoads: boolean;
   /** Factor by which the time of a load is multiplied. */
-  slow: number;
+  slowdownFactor: number;
 }
 
 /** Milliseconds between two updates of the progress of loads. */
@@ -17,11 +17,11 @@
 
 /** A weight store that answers each load after its time. */
 export class Weights {
-  readonly faults: Faults = { refuse: false, slow: 1 };
+  readonly faults: Faults = { refuseLoads: false, slowdownFactor: 1 };
   /** Loads finished so far. */
-  loads = 0;
+  completedLoads = 0;
   /** The highest number of loads in progress at the same time. */
-  most = 0;
+  maxConcurrentLoads = 0;
   private readonly active = new Set<{ remainingMs: number; done: () => void }>();
   private ticker: NodeJS.Timeout | undefined;
   private lastTickAt = 0;
@@ -29,14 +29,14 @@
   /** @param loadMs - milliseconds that a load takes when it runs alone */
   constructor(private readonly loadMs: number) {}
 
-  readonly handle: server.Handle = async (_req, res) => {
-    if (this.faults.refuse) {
-      server.json(res, 503, { error: "refused" });
+  readonly handle: server.RequestHandler = async (_req, res) => {
+    if (this.faults.refuseLoads) {
+      server.sendJson(res, 503, { error: "refused" });
       return;
     }
     await new Promise<void>((done) => {
-      this.active.add({ remainingMs: this.loadMs * this.faults.slow, done });
-      this.most = Math.max(this.most, this.active.size);
+      this.active.add({ remainingMs: this.loadMs * this.faults.slowdownFactor, done });
+      this.maxConcurrentLoads = Math.max(this.maxConcurrentLoads, this.active.size);
       if (!this.ticker) {
         this.lastTickAt = performance.now();
         this.ticker = setInterval(() => {
@@ -44,8 +44,8 @@
         }, TICK_MS);
       }
     });
-    this.loads++;
-    server.json(res, 200, { weights: "" });
+    this.completedLoads++;
+    server.sendJson(res, 200, { weights: "" });
   };
 
   private advanceLoads(): void {
@@ -68,7 +68,7 @@
 export async function start(
   loadMs: number,
   port = 0,
-): Promise<server.Running & { readonly weights: Weights }> {
+): Promise<server.RunningServer & { readonly weights: Weights }> {
   const weights = new Weights(loadMs);
   return { ...(await server.serve(weights.handle, port)), weights };
 }
--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -34,7 +34,7 @@
   it("forwards a call to a plain service", async () => {
     const a = await s.call("POST", "/services/cutover/confirm?n=7", "number 7");
     expect(a.status).equal(200);
-    expect(s.services?.service.ran.at(-1)).eql({
+    expect(s.services?.service.executedCalls.at(-1)).eql({
       method: "POST",
       path: "/confirm?n=7",
       body: "number 7",
@@ -64,7 +64,7 @@
   let s: site.Site;
   before(async () => {
     s = await site.Site.start({ engines: 1, entries: 1 });
-    for (const e of s.engines) e.engine.faults.noStartTime = true;
+    for (const e of s.engines) e.engine.faults.omitStartTime = true;
   });
   after(() => s.stop());
 
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -8,9 +8,12 @@
 const { expect } = chai;
 
 /** Starts a site whose endpoint daemons are separate processes, which can be killed and frozen. */
-async function start(): Promise<{ readonly s: site.Site; readonly daemons: processes.Running[] }> {
+async function start(): Promise<{
+  readonly s: site.Site;
+  readonly daemons: processes.DemoProcess[];
+}> {
   const s = await site.Site.start({ engines: 0, objects: objects() });
-  const daemons: processes.Running[] = [];
+  const daemons: processes.DemoProcess[] = [];
   for (let i = 0; i < 2; i++) {
     const engine = await s.engineAlone(i);
     const backendUrl = engine.url;
@@ -21,7 +24,7 @@
         v,
       ]),
     );
-    const daemon = await processes.daemon("endpoint", `engine-${i}`, {
+    const daemon = await processes.startDaemon("endpoint", `engine-${i}`, {
       ...env,
       SUMACFIELD_LOG_LEVEL: "info",
     });
@@ -52,8 +55,8 @@
 /** Waits until an engine has run a request, and returns the daemon of that engine. */
 async function runningDaemon(
   s: site.Site,
-  daemons: readonly processes.Running[],
-): Promise<processes.Running> {
+  daemons: readonly processes.DemoProcess[],
+): Promise<processes.DemoProcess> {
   const engineIndex = (): number =>
     s.engines.findIndex((e) => e.engine.journal.some((j) => j.kind === "run"));
   await site.until(() => engineIndex() >= 0);
@@ -64,12 +67,12 @@
 
 describe("daemon processes", () => {
   let s: site.Site;
-  let daemons: readonly processes.Running[];
+  let daemons: readonly processes.DemoProcess[];
   beforeEach(async () => {
     ({ s, daemons } = await start());
   });
   afterEach(async () => {
-    await processes.endAll();
+    await processes.killAll();
     await s.stop();
   });
 
--- a/test/steps/failures.ts
+++ b/test/steps/failures.ts
@@ -37,7 +37,7 @@
 // The store.
 world.step("the store is down", (w) => {
   w.site.store.store.faults.down = true;
-  w.site.store.store.cutWatches();
+  w.site.store.store.closeWatches();
 });
 world.step("the store is back", (w) => {
   w.site.store.store.faults.down = false;
@@ -91,26 +91,26 @@
   "engine {int} loses the reply to its next order, which takes effect {int} ms late",
   (w, n: number, ms: number) => {
     engineAt(w, n).faults.loseReplies = 1;
-    engineAt(w, n).faults.delayOrderMs = ms;
+    engineAt(w, n).faults.orderDelayMs = ms;
   },
 );
 world.step("engine {int} takes {int} ms to begin its next order", (w, n: number, ms: number) => {
-  engineAt(w, n).faults.delayOrderMs = ms;
+  engineAt(w, n).faults.orderDelayMs = ms;
 });
 world.step("engine {int}'s counts lag by {int} ms", (w, n: number, ms: number) => {
-  engineAt(w, n).faults.lagMs = ms;
+  engineAt(w, n).faults.metricsLagMs = ms;
 });
 world.step("engine {int} is unloaded by hand", (w, n: number) => {
-  engineAt(w, n).forgetAll();
+  engineAt(w, n).unloadAll();
 });
 world.step("the weight store refuses loads", (w) => {
-  w.site.weights.weights.faults.refuse = true;
+  w.site.weights.weights.faults.refuseLoads = true;
 });
 world.step("the weight store is back", (w) => {
-  w.site.weights.weights.faults.refuse = false;
+  w.site.weights.weights.faults.refuseLoads = false;
 });
 world.step("the weight store is {int} times slower", (w, n: number) => {
-  w.site.weights.weights.faults.slow = n;
+  w.site.weights.weights.faults.slowdownFactor = n;
 });
 world.step("the service loses the reply to its next call", (w) => {
   if (w.site.services) w.site.services.service.loseReplies = 1;
@@ -192,9 +192,9 @@
 });
 
 world.step("engine {int} goes on for {int} ms after a cancel", (w, n: number, ms: number) => {
-  engineAt(w, n).faults.slowCancelMs = ms;
+  engineAt(w, n).faults.cancelDelayMs = ms;
 });
 
 world.step("engine {int}'s requests take {int} ms to arrive", (w, n: number, ms: number) => {
-  engineAt(w, n).faults.slowArrivalMs = ms;
+  engineAt(w, n).faults.arrivalDelayMs = ms;
 });
--- a/test/steps/requests.ts
+++ b/test/steps/requests.ts
@@ -170,7 +170,7 @@
 });
 
 world.step("the service ran {string} {int} time(s)", (w, body: string, n: number) => {
-  expect(w.site.services?.service.ran.filter((r) => r.body === body)).length(n);
+  expect(w.site.services?.service.executedCalls.filter((r) => r.body === body)).length(n);
 });
 
 world.step("no adapter was evicted in use", (w) => {
@@ -216,6 +216,6 @@
   "the service ran {string} {int} time(s) after the answer",
   async (w, body: string, n: number) => {
     expect((await w.lastAnswer()).status).equal(200);
-    expect(w.site.services?.service.ran.filter((r) => r.body === body)).length(n);
+    expect(w.site.services?.service.executedCalls.filter((r) => r.body === body)).length(n);
   },
 );
