--- a/deploy/launch.cts
+++ b/deploy/launch.cts
@@ -11,6 +11,8 @@
 
 const { script: compiled, rejected } = script.compile(fs.readFileSync(script.CODE_CACHE_FILE));
 if (rejected) {
-  process.stderr.write("sumacfield: the compiled form is of another Node or other flags\n");
+  process.stderr.write(
+    "sumacfield: the code cache was made by another Node version or under other flags\n",
+  );
 }
 void script.evaluate(compiled).run();
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -64,7 +64,7 @@
     help: "Keys that daemons authenticate each other with; the first one signs.",
   }),
   storeTimeoutMs: settings.int("storeTimeoutMs", 1, {
-    help: "Patience with one call to the store, in ms.",
+    help: "Timeout of one call to the store, in ms.",
     default: "2000",
   }),
   controlTimeoutMs: settings.int("controlTimeoutMs", 1, {
--- a/src/endpoint/adapter-manager.ts
+++ b/src/endpoint/adapter-manager.ts
@@ -193,7 +193,7 @@
     } catch (err) {
       const f = outcome.toFailure(err, "unload", this.opts.name, "unknown");
       this.move(name, { type: f.outcome === "unknown" ? "lost" : "failed" });
-      this.deps.log.warn(`The unload of ${name} is in doubt: ${f.message}`);
+      this.deps.log.warn(`The outcome of unloading ${name} is unknown: ${f.message}`);
       return false;
     }
   }
@@ -220,7 +220,7 @@
     const first = !this.hasPolled;
     this.hasPolled = true;
     if (!first && health.startedAt !== this.engineStartedAt) {
-      this.deps.log.warn("The engine came back cold.");
+      this.deps.log.warn("The engine restarted.");
     }
     this.engineStartedAt = health.startedAt;
     // An engine that restarted is reconciled as well: adapters that were loaded since then, and may be
@@ -236,7 +236,7 @@
   private recordFailedPoll(err: unknown): void {
     this.failedPolls++;
     if (this.failedPolls !== MAX_FAILED_POLLS) return;
-    this.deps.log.warn(`The engine is out: ${errors.messageOf(err)}`);
+    this.deps.log.warn(`The engine is unreachable: ${errors.messageOf(err)}`);
     this.gate.onEngineUnknown();
     this.gate.rejectAllWaiting();
   }
--- a/src/endpoint/daemon.ts
+++ b/src/endpoint/daemon.ts
@@ -298,7 +298,7 @@
       await Promise.all(tasks);
       current?.gate.stop();
       parts.metrics.close();
-      lg.info("Stopped; nothing was cut off.");
+      lg.info("Stopped after all requests in flight were completed.");
     },
     kill: () => {
       stop.abort();
--- a/src/endpoint/gate.ts
+++ b/src/endpoint/gate.ts
@@ -74,7 +74,7 @@
         this.lifecycle.send({ type: "engine_unknown" });
       },
       rejectAllWaiting: () => {
-        this.withdrawAll("not_ready", "The engine is out.", opts.pollIntervalMs);
+        this.withdrawAll("not_ready", "The engine is unreachable.", opts.pollIntervalMs);
       },
       rejectWaitingFor: (target, code, message) => {
         this.withdrawTarget(target, code, message);
--- a/src/entry/daemon.ts
+++ b/src/entry/daemon.ts
@@ -295,7 +295,7 @@
       await daemon.closeServer(linkServer, clk);
       await dispatcher.close();
       parts.metrics.close();
-      lg.info("Stopped; nothing was cut off.");
+      lg.info("Stopped after all requests in flight were completed.");
     },
     kill: () => {
       stopController.abort();
--- a/src/host/daemon.ts
+++ b/src/host/daemon.ts
@@ -45,7 +45,7 @@
     default: "text",
   }),
   storeTimeoutMs: settings.int("storeTimeoutMs", 1, {
-    help: "Patience with one call to the store, in ms.",
+    help: "Timeout of one call to the store, in ms.",
     default: "1000",
   }),
   storeCallsPerS: settings.int("storeCallsPerS", 1, {
--- a/src/host/intent-feed.ts
+++ b/src/host/intent-feed.ts
@@ -144,7 +144,7 @@
     try {
       this.putInForce(newChanges.reduce(intent.step, this.current), newChanges);
     } catch (err) {
-      this.deps.log.error(`News of the intent was refused: ${errors.messageOf(err)}.`);
+      this.deps.log.error(`A change of the intent was rejected: ${errors.messageOf(err)}.`);
     }
   }
 
@@ -265,7 +265,7 @@
         }
       } catch (err) {
         this.sourceActor.send({ type: "cut" });
-        this.deps.log.warn(`The store is out: ${errors.messageOf(err)}`);
+        this.deps.log.warn(`The store is unavailable: ${errors.messageOf(err)}`);
         waitMs = Math.min(waitMs * 2, this.opts.retryMs * MAX_BACKOFF_FACTOR);
       }
       const jitter = 0.5 + this.deps.random();
--- a/src/link/pump.ts
+++ b/src/link/pump.ts
@@ -26,7 +26,7 @@
     };
     const readerClosed = (): void => {
       from.destroy();
-      fail(new Error("the reader went away"));
+      fail(new Error("the reader closed the connection"));
     };
     const forward = (chunk: Buffer): void => {
       if (!to.write(chunk)) from.pause();
--- a/src/operator/files.ts
+++ b/src/operator/files.ts
@@ -33,7 +33,7 @@
   const seen = new Set<string>();
   for (const o of objs) {
     const key = objects.keyOf(o);
-    if (seen.has(key)) faults.push(`${file}: ${key} stands twice`);
+    if (seen.has(key)) faults.push(`${file}: ${key} is declared twice`);
     seen.add(key);
   }
   if (faults.length > 0) throw new FileError(faults);
--- a/test/contract.test.ts
+++ b/test/contract.test.ts
@@ -198,6 +198,6 @@
   });
 
   it("rejects an object that is declared twice", () => {
-    expect(() => files.parse(`${good}---\n${good}`, "f.yaml")).throw("Caller/c stands twice");
+    expect(() => files.parse(`${good}---\n${good}`, "f.yaml")).throw("Caller/c is declared twice");
   });
 });
--- a/test/endpoint.test.ts
+++ b/test/endpoint.test.ts
@@ -297,7 +297,7 @@
 describe("answer", () => {
   const whole = Buffer.from([0, 1, 2].map(event).join("") + "data: [DONE]\n\n");
 
-  it("is the same however the stream is cut into parts", async () => {
+  it("does not depend on how the stream is split into chunks", async () => {
     const parts = fc.array(fc.nat(1000), { maxLength: 20 });
     await fc.assert(
       fc.asyncProperty(parts, async (at) => {
@@ -307,7 +307,7 @@
     );
   });
 
-  it("is never taken for whole when it ends early", async () => {
+  it("is never taken for complete when it ends early", async () => {
     await fc.assert(
       fc.asyncProperty(fc.nat(whole.length - 2), async (length) => {
         const err: unknown = await collect([whole.subarray(0, length)]).catch((e: unknown) => e);
--- a/test/platform/processes.test.ts
+++ b/test/platform/processes.test.ts
@@ -207,7 +207,7 @@
     const file = path.join(folder, "entry-1.yaml");
     const whole = fs.readFileSync(file, "utf8");
     entry.process.kill("SIGHUP");
-    await eventually(() => entry.lines().some((l) => l.msg === "The settings were read again."));
+    await eventually(() => entry.lines().some((l) => l.msg === "The settings were reloaded."));
     fs.writeFileSync(file, "nodeName: [");
     entry.process.kill("SIGHUP");
     await eventually(() =>
--- a/test/request.test.ts
+++ b/test/request.test.ts
@@ -24,7 +24,7 @@
 ];
 
 describe("trail", () => {
-  it("vouches for not_run only when no attempt may have run", () => {
+  it("reports not_run only when no attempt may have run", () => {
     const events = fc.array(fc.constantFrom(...EVENTS), { maxLength: 20 });
     fc.assert(
       fc.property(events, fc.boolean(), (types, repeatable) => {
@@ -169,7 +169,7 @@
   const ring: keys.ClusterKeys = ["first-cluster-key-01", "second-cluster-key-2"];
   const signed = { method: "POST", path: "/run", audience: "engine-a", covers: ["x"] };
 
-  it("are taken while any of them is in force", () => {
+  it("verify signatures made with any valid key", () => {
     const verify = keys.createVerifier(ring, clock.system);
     verify(keys.sign([ring[1] ?? "", ring[0]], signed, clock.system), signed, "p");
     verify(keys.sign(ring, signed, clock.system), signed, "p");
