--- a/bench/caps/fleet.ts
+++ b/bench/caps/fleet.ts
@@ -151,9 +151,7 @@
       place: () => this.places[p],
       host: () => {
         const at = this.hosts[h];
-        return (
-          at && { greeting: (address) => at.attachMessagesFor(address), hear: () => undefined }
-        );
+        return at && { greeting: (to) => at.attachMessagesFor(to), hear: () => undefined };
       },
       stands: () => this.told.add(h),
       sent: () => {
--- a/src/serving/authentication.ts
+++ b/src/serving/authentication.ts
@@ -51,8 +51,9 @@
  * a revoked key is not accepted after `revokedMs`. If `revokedMs` is undefined, no time is guaranteed for revocation.
  */
 export function freshnessBounds(inForceMs: number, revokedMs: number | undefined): FreshnessBounds {
-  const maxAgeMs = revokedMs === undefined ? Infinity : revokedMs - SILENT_WATCH_MS - FORWARDING_MS;
-  return { acceptWithinMs: maxAgeMs, rejectWithinMs: inForceMs };
+  const acceptWithinMs =
+    revokedMs === undefined ? Infinity : revokedMs - SILENT_WATCH_MS - FORWARDING_MS;
+  return { acceptWithinMs, rejectWithinMs: inForceMs };
 }
 
 /** Whether the configuration is fresh enough to reject a request for a key or route that it does not have. */
--- a/src/serving/backlog.ts
+++ b/src/serving/backlog.ts
@@ -91,10 +91,10 @@
   const l = b.loads.get(seat);
   if (!l) return b;
   const perToken = prefillSpeed.msPerToken(b.speed);
-  const toRead = l.tokens + prefillMs(b, now) / perToken;
+  const tokensUntilFirst = l.tokens + prefillMs(b, now) / perToken;
   return {
-    ...put(b, seat, { ...l, grantedAt: now, tokensUntilFirst: toRead }),
-    prefillUntil: now + toRead * perToken,
+    ...put(b, seat, { ...l, grantedAt: now, tokensUntilFirst }),
+    prefillUntil: now + tokensUntilFirst * perToken,
   };
 }
 
@@ -115,8 +115,9 @@
       continue;
     tokens += other.tokens;
   }
-  const readUntil = now - prefillSpeed.firstMs(updated) + tokens * prefillSpeed.msPerToken(updated);
-  return { ...next, prefillUntil: readUntil };
+  const prefillUntil =
+    now - prefillSpeed.firstMs(updated) + tokens * prefillSpeed.msPerToken(updated);
+  return { ...next, prefillUntil };
 }
 
 /** Removes a seat that ended; a prompt that the engine has not read yet no longer counts. */
--- a/src/serving/caller-server.ts
+++ b/src/serving/caller-server.ts
@@ -143,8 +143,8 @@
 
   private match(req: http.IncomingMessage, config: catalog.Config): match.Matched | match.Refusal {
     const { protocol, bounds, random } = this.deps;
-    const ageMs = this.deps.catalogAgeMs();
-    return match.matchRequest(req, { config, catalogAgeMs: ageMs, bounds, protocol, random });
+    const catalogAgeMs = this.deps.catalogAgeMs();
+    return match.matchRequest(req, { config, catalogAgeMs, bounds, protocol, random });
   }
 
   private refuse(
@@ -152,10 +152,10 @@
     response: progress.CallerResponse,
     r: match.Refusal,
   ): void {
-    const { status, why, team, digest, retryAfterMs: retryMs } = r;
+    const { status, why, team, digest, retryAfterMs } = r;
     this.deps.log.info("A request was refused.", { path: req.url, status, why, team, digest });
     this.deps.metrics.recordRefusal(team, status);
-    response.refuse(status, why, retryMs);
+    response.refuse(status, why, retryAfterMs);
   }
 
   /** Charges a request to the cap of its team, if it has one, and refuses it when the cap is exceeded. */
--- a/src/serving/catalog.ts
+++ b/src/serving/catalog.ts
@@ -187,7 +187,7 @@
   const versions = copyOnWrite(from.versions);
   const endpoints = copyOnWrite(from.endpoints);
   let { config, quarantined } = from;
-  const effective = updates.filter((c) => {
+  const applied = updates.filter((c) => {
     switch (c.kind) {
       case "config":
         if (config && config.version >= c.config.version) return false;
@@ -218,7 +218,7 @@
         return true;
     }
   });
-  if (effective.length === 0) return { catalog: from, applied: effective };
+  if (applied.length === 0) return { catalog: from, applied };
   return {
     catalog: {
       ...from,
@@ -227,7 +227,7 @@
       endpoints: endpoints.read(),
       quarantined,
     },
-    applied: effective,
+    applied,
   };
 }
 
--- a/src/serving/choice.ts
+++ b/src/serving/choice.ts
@@ -99,11 +99,11 @@
 function estimateWithoutState(view: View, need: Need, basePenaltyMs: number): Estimate {
   const usable =
     view.holdings?.models.includes(need.model) && adapterState(view, need.key) === "resident";
-  const idleMs = prefillSpeed.firstEventMs(prefillSpeed.INITIAL, need.promptTokens);
+  const serviceMs = prefillSpeed.firstEventMs(prefillSpeed.INITIAL, need.promptTokens);
   return {
     view,
-    firstMs: usable ? idleMs : Infinity,
-    serviceMs: idleMs,
+    firstMs: usable ? serviceMs : Infinity,
+    serviceMs,
     penaltyMs: basePenaltyMs + UNKNOWN_STATE_PENALTY_MS,
   };
 }
@@ -172,15 +172,15 @@
 }
 
 function estimate(view: View, need: Need, summary: FleetSummary): Estimate {
-  const { state, holdings, orderIndex: place } = view;
+  const { state, holdings, orderIndex } = view;
   const domainPenaltyMs = view.endpoint.domain === need.domain ? 0 : DOMAIN_PENALTY_MS;
   const failurePenaltyMs =
     Math.max(view.failureRate, state?.failing ?? 0) ** 2 * FAILURE_PENALTY_MS;
-  const basePenaltyMs = domainPenaltyMs + failurePenaltyMs;
-  if (!state) return estimateWithoutState(view, need, basePenaltyMs);
-  const idleMs = state.firstMs + need.promptTokens * state.msPerToken;
+  const penaltyMs = domainPenaltyMs + failurePenaltyMs;
+  if (!state) return estimateWithoutState(view, need, penaltyMs);
+  const serviceMs = state.firstMs + need.promptTokens * state.msPerToken;
   if (state.instance === "" || !holdings?.models.includes(need.model)) {
-    return { view, firstMs: Infinity, serviceMs: idleMs, penaltyMs: basePenaltyMs };
+    return { view, firstMs: Infinity, serviceMs, penaltyMs };
   }
   // Where the request already waits, the engine's backlog includes its tokens.
   const countedTokens = need.waitsAt === view.endpoint.id ? need.promptTokens : 0;
@@ -201,28 +201,28 @@
     case "resident":
       return {
         view,
-        firstMs: queueMs + idleMs,
-        serviceMs: idleMs,
-        penaltyMs: basePenaltyMs + latePenaltyMs(queueMs + idleMs) + place * ORDER_PENALTY_MS,
+        firstMs: queueMs + serviceMs,
+        serviceMs,
+        penaltyMs: penaltyMs + latePenaltyMs(queueMs + serviceMs) + orderIndex * ORDER_PENALTY_MS,
       };
     case "warm": {
-      const firstMs = Math.max(queueMs, slotMs + state.warmMs) + idleMs;
+      const firstMs = Math.max(queueMs, slotMs + state.warmMs) + serviceMs;
       return {
         view,
         firstMs,
-        serviceMs: idleMs,
-        penaltyMs: basePenaltyMs + latePenaltyMs(firstMs) + place * ORDER_PENALTY_MS,
+        serviceMs,
+        penaltyMs: penaltyMs + latePenaltyMs(firstMs) + orderIndex * ORDER_PENALTY_MS,
       };
     }
     case "absent": {
-      const firstMs = Math.max(queueMs, slotMs + state.coldMs) + idleMs;
+      const firstMs = Math.max(queueMs, slotMs + state.coldMs) + serviceMs;
       const copyPenaltyMs = summary.hasAdapter ? COPY_PENALTY_LOADS * state.coldMs : 0;
       return {
         view,
         firstMs,
-        serviceMs: idleMs,
+        serviceMs,
         penaltyMs:
-          basePenaltyMs + latePenaltyMs(firstMs) + copyPenaltyMs + place * ORDER_PENALTY_MS,
+          penaltyMs + latePenaltyMs(firstMs) + copyPenaltyMs + orderIndex * ORDER_PENALTY_MS,
       };
     }
   }
@@ -242,14 +242,14 @@
     .filter((v) => isUsable(v, need))
     .map((view) => {
       const domainPenaltyMs = view.endpoint.domain === need.domain ? 0 : DOMAIN_PENALTY_MS;
-      const idleMs = view.latencyMs > 0 ? view.latencyMs : meanMs;
-      const busyMs = idleMs * (1 + (2 * view.inFlight) / Math.max(1, view.endpoint.seats));
+      const serviceMs = view.latencyMs > 0 ? view.latencyMs : meanMs;
+      const busyMs = serviceMs * (1 + (2 * view.inFlight) / Math.max(1, view.endpoint.seats));
       const firstMs = view.limitWaitMs + busyMs;
       const failurePenaltyMs = view.failureRate ** 2 * FAILURE_PENALTY_MS;
       return {
         view,
         firstMs,
-        serviceMs: idleMs,
+        serviceMs,
         penaltyMs: domainPenaltyMs + failurePenaltyMs + random() * DOMAIN_PENALTY_MS,
       };
     })
--- a/src/serving/daemon-base.ts
+++ b/src/serving/daemon-base.ts
@@ -23,7 +23,7 @@
 export function openFeed(
   deps: Deps,
   pace: feed.WatchPace,
-  changed: (at: catalog.Catalog) => void,
+  onChange: (at: catalog.Catalog) => void,
 ): feed.Feed {
   const { clock, source, decoder, random } = deps;
   return new feed.Feed({
@@ -33,6 +33,6 @@
     decoder,
     pace,
     random,
-    onChange: changed,
+    onChange,
   });
 }
--- a/src/serving/endpoint-registry.ts
+++ b/src/serving/endpoint-registry.ts
@@ -188,10 +188,14 @@
     return layout;
   }
 
-  private view(service: catalog.Service, endpoint: catalog.Endpoint, place: number): choice.View {
+  private view(
+    service: catalog.Service,
+    endpoint: catalog.Endpoint,
+    orderIndex: number,
+  ): choice.View {
     const conn = service.engine && this.link(endpoint);
     const stats = this.stats.get(endpoint.id) ?? NO_STATS;
-    const opensInMs = this.deps.availableInMs(endpoint);
+    const availableInMs = this.deps.availableInMs(endpoint);
     const isThisStart = conn?.state && incarnation.mayBeSame(conn.state.instance, endpoint.id);
     const state = isThisStart ? conn.state : undefined;
     const isOtherStart = conn?.state !== undefined && state === undefined;
@@ -204,11 +208,11 @@
       pendingSlots: conn?.pendingSlots ?? 0,
       failureRate: failureRateNow(stats, this.clk.mono()),
       latencyMs: stats.latencyMs,
-      isStarting: opensInMs < Infinity && (conn?.isStarting ?? false),
-      orderIndex: place,
+      isStarting: availableInMs < Infinity && (conn?.isStarting ?? false),
+      orderIndex,
       stateAgeMs: conn?.stateAgeMs ?? 0,
       limitWaitMs: this.deps.limitWaitMs(endpoint.id),
-      availableInMs: opensInMs,
+      availableInMs,
     };
   }
 
--- a/src/serving/engine-manager.ts
+++ b/src/serving/engine-manager.ts
@@ -367,8 +367,8 @@
     this.instance = "";
     this.orders.reset();
     this.loadHistory = loadHistory.afterRestart(this.loadHistory);
-    const { newest, popularity: heat, waiting } = this.state;
-    this.state = { ...residency.empty(), newest, popularity: heat, waiting };
+    const { newest, popularity, waiting } = this.state;
+    this.state = { ...residency.empty(), newest, popularity, waiting };
     this.denyAll("out");
     this.announcer.announceSoonToAll();
   }
@@ -384,8 +384,8 @@
       engineView.listedAdapters(report),
       askedAt,
     );
-    for (const { key, phaseSince: since } of residency.finishedLoads(before, this.state)) {
-      this.loadHistory = loadHistory.recordLoad(this.loadHistory, key, askedAt - since);
+    for (const { key, phaseSince } of residency.finishedLoads(before, this.state)) {
+      this.loadHistory = loadHistory.recordLoad(this.loadHistory, key, askedAt - phaseSince);
     }
     for (const key of before.slots.keys()) if (!this.state.slots.has(key)) this.adapterLeft(key);
     this.announcer.stateChanged();
@@ -430,7 +430,7 @@
 
   /** Sends one order, and records its result or polls the engine for it. */
   private async sendOrder(o: orderSender.Change): Promise<void> {
-    const { sequence: count } = this.orders;
+    const { sequence } = this.orders;
     const result = await this.orders.send(o, this.instance, this.deps.catalog().revision);
     if (result.kind === "moved") {
       this.engineLost();
@@ -438,7 +438,7 @@
     }
     if (result.kind !== "accepted" || o.adapter === undefined) {
       await this.poll();
-      if (result.kind === "conflict") this.orders.recordConflict(count);
+      if (result.kind === "conflict") this.orders.recordConflict(sequence);
       return;
     }
     const key = catalog.adapterKey(o.model, o.adapter);
@@ -468,7 +468,7 @@
   }
 
   private view(now: number): engineView.EngineView {
-    const { instance, seatTable: seats, state: held, loadHistory: warmth } = this;
-    return { instance, seats, held, loadHistory: warmth, slots: this.options().slots, now };
+    const { instance, seatTable: seats, state: held, loadHistory } = this;
+    return { instance, seats, held, loadHistory, slots: this.options().slots, now };
   }
 }
--- a/src/serving/feed.ts
+++ b/src/serving/feed.ts
@@ -376,11 +376,11 @@
     for (const s of updates) {
       if (s.kind === "endpoint") this.keptMissing.delete(incarnation.workerOf(s.endpoint.id));
     }
-    const { catalog: next, applied: appliedUpdates } = catalog.applyUpdates(this.current, updates);
+    const { catalog: next, applied } = catalog.applyUpdates(this.current, updates);
     // The first snapshot adds all endpoints and versions at once. They are not logged one by one, since the line for the
     // snapshot already has their number.
     const isFirstSnapshot = this.current.config === undefined;
-    for (const s of appliedUpdates) if (!isFirstSnapshot || s.kind === "config") this.logUpdate(s);
+    for (const s of applied) if (!isFirstSnapshot || s.kind === "config") this.logUpdate(s);
     const changed = next !== this.current;
     this.current = revision > next.revision ? { ...next, revision } : next;
     if (changed) this.deps.onChange(this.current);
--- a/src/serving/fleet.ts
+++ b/src/serving/fleet.ts
@@ -29,17 +29,17 @@
   daemonOf: (e: catalog.Endpoint) => string,
   cachedRings: readonly ring.Ring[],
 ): Layout {
-  const endpointsAt = new Map<string, readonly catalog.Endpoint[]>();
+  const byAddress = new Map<string, readonly catalog.Endpoint[]>();
   for (const e of list) {
     const address = daemonOf(e);
-    endpointsAt.set(address, [...(endpointsAt.get(address) ?? []), e]);
+    byAddress.set(address, [...(byAddress.get(address) ?? []), e]);
   }
   const cached = cachedRings.find(
-    (r) => r.places.length === endpointsAt.size && r.places.every((p) => endpointsAt.has(p.name)),
+    (r) => r.places.length === byAddress.size && r.places.every((p) => byAddress.has(p.name)),
   );
-  if (cached) return { byAddress: endpointsAt, ring: cached };
-  const places = [...endpointsAt].map(([name, [e]]) => ({ name, failureDomain: e?.domain ?? "" }));
-  return { byAddress: endpointsAt, ring: ring.build(places) };
+  if (cached) return { byAddress, ring: cached };
+  const places = [...byAddress].map(([name, [e]]) => ({ name, failureDomain: e?.domain ?? "" }));
+  return { byAddress, ring: ring.build(places) };
 }
 
 /** The views of the engines in a layout, for a search. `adapters` tells which engines have an adapter. */
--- a/src/serving/limiter.ts
+++ b/src/serving/limiter.ts
@@ -341,8 +341,8 @@
   readonly refusal: Decision;
 }
 
-function undecided(waitMs: number): Decision {
-  return { kind: "unsure", retryAfterMs: waitMs };
+function undecided(retryAfterMs: number): Decision {
+  return { kind: "unsure", retryAfterMs };
 }
 
 function refusalFor(waitMs: number | undefined): Decision {
--- a/src/serving/match.ts
+++ b/src/serving/match.ts
@@ -63,7 +63,7 @@
 
 /** Finds the route, service and team of a request by its headers. */
 export function matchRequest(req: RequestHead, ctx: Context): Matched | Refusal {
-  const { config, catalogAgeMs: ageMs, bounds } = ctx;
+  const { config, catalogAgeMs, bounds } = ctx;
   const path = req.url ?? "";
   if (headerBytes(req) > config.limits.headerBytes) {
     return refused(431, "the headers are too large");
@@ -74,7 +74,7 @@
   if (!route || !service) return noRoute(ctx);
   const presented = presentedKey(req, ctx);
   const digest = presented.kind === "key" ? shortDigest(presented.digest) : undefined;
-  const verdict = authentication.authenticate(config, route, presented, ageMs, bounds);
+  const verdict = authentication.authenticate(config, route, presented, catalogAgeMs, bounds);
   switch (verdict.kind) {
     case "unknown":
       return { ...refused(401, verdict.why), digest };
@@ -112,9 +112,9 @@
   return { kind: "refused", status, why };
 }
 
-function noRoute({ catalogAgeMs: ageMs, bounds }: Context): Refusal {
-  if (authentication.mayReject(ageMs, bounds)) return refused(404, "no route matches");
-  const why = `no route matches in a configuration that is ${Math.round(ageMs)} ms old`;
+function noRoute({ catalogAgeMs, bounds }: Context): Refusal {
+  if (authentication.mayReject(catalogAgeMs, bounds)) return refused(404, "no route matches");
+  const why = `no route matches in a configuration that is ${Math.round(catalogAgeMs)} ms old`;
   return { ...refused(503, why), retryAfterMs: STALE_RETRY_MS };
 }
 
--- a/src/serving/progress.ts
+++ b/src/serving/progress.ts
@@ -24,7 +24,7 @@
   readonly refuse: (status: number, message: string, retryAfterMs?: number) => void;
 }
 
-/** How a request ended, for the log and the meters. */
+/** How a request ended, for the log and the metrics. */
 export type Ending =
   "whole" | "late" | "refused" | "failed" | "unknown" | "broken" | "left" | "passed_failure";
 
--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -141,12 +141,12 @@
   prefill: PrefillLoad = NO_PREFILL,
 ): readonly Action[] {
   const out: Action[] = [];
-  let { ms, unstarted: unbegun } = prefill;
+  let { ms, unstarted } = prefill;
   for (const w of seatQueue.servingOrder(s.waiting, now)) {
     const ready = isReady(s, w, now, opts);
-    if (ready && ms <= GRANT_AHEAD_MS && unbegun < MAX_UNSTARTED) {
+    if (ready && ms <= GRANT_AHEAD_MS && unstarted < MAX_UNSTARTED) {
       ms += w.serviceMs;
-      unbegun++;
+      unstarted++;
       const version = w.adapter === undefined ? undefined : s.slots.get(w.key)?.version;
       out.push({ kind: "grant", waiter: w, version });
     } else if (now >= w.expiresAt) {
--- a/src/serving/seat-queue.ts
+++ b/src/serving/seat-queue.ts
@@ -36,12 +36,12 @@
   seatId: string,
   key: string,
   m: seatMessages.Ask,
-  ownMs: number,
+  serviceMs: number,
   now: number,
 ): Waiter {
   const { model, adapter, rank } = m;
   const times = { askedAt: now, targetAt: now + m.targetMs, expiresAt: now + m.leftMs };
-  return { seat: seatId, key, model, adapter, rank, serviceMs: ownMs, ...times };
+  return { seat: seatId, key, model, adapter, rank, serviceMs, ...times };
 }
 
 /** Latest monotonic ms at which the engine must start on a request for its first event to be on time. */
--- a/src/serving/seat-table.ts
+++ b/src/serving/seat-table.ts
@@ -37,8 +37,8 @@
   m: seatMessages.Ask,
   now: number,
 ): Seat {
-  const { seat: n, request } = m;
-  return { client, seatNumber: n, request, key, askedAt: now, grantedAt: undefined };
+  const { seat: seatNumber, request } = m;
+  return { client, seatNumber, request, key, askedAt: now, grantedAt: undefined };
 }
 
 export class SeatTable {
--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -70,12 +70,12 @@
     e: catalog.Endpoint,
     limitWaitMs = 0,
   ): void {
-    const { notices, log, metrics: meters } = this.deps;
+    const { notices, log, metrics } = this.deps;
     const reason = notices.reason(e) ?? "limit";
     const waitMs = Math.round(Math.max(limitWaitMs, notices.opensInMs(e)));
     p.withheld++;
     p.why = `${e.id} accepts no requests now: ${reason}`;
-    meters.recordNotice(req.service.name, reason, "elsewhere");
+    metrics.recordNotice(req.service.name, reason, "elsewhere");
     log.info("A worker accepts no requests now.", {
       request: req.meta.id,
       endpoint: e.id,
--- a/src/serving/suspicion.ts
+++ b/src/serving/suspicion.ts
@@ -139,9 +139,9 @@
   // weaker evidence, whichever report came first.
   if (before && before.underWayMs >= underWayMs) return records;
   const kept = { identity, worker, underWayMs, peers, at: Math.min(at, before?.at ?? at) };
-  const ends = new Map(records.crashes).set(identity, new Map(known).set(worker, kept));
-  if (ends.size > MAX_REQUESTS) ends.delete(evictionCandidate(ends));
-  return { ...records, crashes: ends };
+  const crashes = new Map(records.crashes).set(identity, new Map(known).set(worker, kept));
+  if (crashes.size > MAX_REQUESTS) crashes.delete(evictionCandidate(crashes));
+  return { ...records, crashes };
 }
 
 /** The identity with the fewest crashes, and among those the oldest. */
@@ -173,10 +173,10 @@
   }
   const remaining = new Map(ownCrashes);
   for (const w of newlyVoided) remaining.delete(w);
-  const ends = new Map(records.crashes);
-  if (remaining.size > 0) ends.set(identity, remaining);
-  else ends.delete(identity);
-  return { crashes: ends, voided };
+  const crashes = new Map(records.crashes);
+  if (remaining.size > 0) crashes.set(identity, remaining);
+  else crashes.delete(identity);
+  return { crashes, voided };
 }
 
 /** The records without those that have expired; the same object if none has. */
--- a/test/platform/crashing.test.ts
+++ b/test/platform/crashing.test.ts
@@ -34,8 +34,8 @@
   const size = { entries: 2, engines: 6, plain: 4 };
   const site = new soak.Site(size, MAIN, folder, (what) => faults.push(what));
 
-  const ask = (id: string, entry: number, at: string, body: string): Promise<number> =>
-    asking.requestStatus(site, { id, entry, prefix: at, body, adapter: "a1" });
+  const ask = (id: string, entry: number, prefix: string, body: string): Promise<number> =>
+    asking.requestStatus(site, { id, entry, prefix, body, adapter: "a1" });
 
   /** Sends one request repeatedly, to the entry hosts in turn; returns the answers' statuses. */
   async function repeat(at: string, attempts: number): Promise<readonly number[]> {
--- a/test/platform/notices.test.ts
+++ b/test/platform/notices.test.ts
@@ -27,11 +27,11 @@
   let site: soak.Site;
   let runs = 0;
 
-  const ask = (id: string, n: number, at: string): Promise<asking.Answer> =>
+  const ask = (id: string, n: number, prefix: string): Promise<asking.Answer> =>
     asking.request(site, {
       id,
       entry: n,
-      prefix: at,
+      prefix,
       body: "ordinary",
       adapter: `a${n % ADAPTERS}`,
     });
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -246,11 +246,11 @@
   });
 
   it("believes only what vouches that nothing ran", () => {
-    const { saysNotRun: notRun } = wire.PROTOCOL;
-    expect(notRun(421, {})).equal(true);
-    expect(notRun(503, { "x-sumacfield-not-executed": "1" })).equal(true);
-    expect(notRun(503, {})).equal(false);
-    expect(notRun(500, {})).equal(false);
+    const { saysNotRun } = wire.PROTOCOL;
+    expect(saysNotRun(421, {})).equal(true);
+    expect(saysNotRun(503, { "x-sumacfield-not-executed": "1" })).equal(true);
+    expect(saysNotRun(503, {})).equal(false);
+    expect(saysNotRun(500, {})).equal(false);
   });
 
   it("is named nowhere else", () => {
--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -33,11 +33,11 @@
   const size = { entries: ENTRIES, engines: 2, plain: 2 };
   const site = new soak.Site(size, MAIN, folder, (what) => faults.push(what));
 
-  const ask = (id: string, n: number, at: string): Promise<number> =>
+  const ask = (id: string, n: number, prefix: string): Promise<number> =>
     asking.requestStatus(site, {
       id,
       entry: n,
-      prefix: at,
+      prefix,
       body: "ordinary",
       adapter: `a${n % ADAPTERS}`,
     });
--- a/test/serving/admission.test.ts
+++ b/test/serving/admission.test.ts
@@ -8,9 +8,9 @@
 
 const REQUEST: admission.RequestTimes = { rank: 1, targetMs: 800, gapMs: 250, leftMs: 5000 };
 
-function estimate(waitMs: number, ownMs: number): choice.Estimate {
+function estimate(waitMs: number, serviceMs: number): choice.Estimate {
   const view = fixtures.view("1");
-  return { view, firstMs: waitMs + ownMs, serviceMs: ownMs, penaltyMs: 0 };
+  return { view, firstMs: waitMs + serviceMs, serviceMs, penaltyMs: 0 };
 }
 
 describe("admission", () => {
--- a/test/serving/cold-start.test.ts
+++ b/test/serving/cold-start.test.ts
@@ -34,11 +34,11 @@
 }
 
 /** Starts all loads that the engine should order now. */
-function startLoads(e: Engine, now: number, coldLoads: number): void {
+function startLoads(e: Engine, now: number, maxColdLoads: number): void {
   const opts: residency.Options = {
     slots: SLOTS,
     maxLoads: 4,
-    maxColdLoads: coldLoads,
+    maxColdLoads,
     isWarm: () => false,
     closeAfterMs: 100,
     outdatedUseMs: 500,
--- a/test/serving/decisions.test.ts
+++ b/test/serving/decisions.test.ts
@@ -250,10 +250,10 @@
 
 describe("choice", () => {
   it("gives a reported waiting time less weight the older it is", () => {
-    const reported = (id: string, ms: number, ageMs: number): choice.View =>
+    const reported = (id: string, ms: number, stateAgeMs: number): choice.View =>
       withAdapter(id, {
         state: { ...fixtures.STATE, instance: id, waitMs: new Array<number>(10).fill(ms) },
-        stateAgeMs: ageMs,
+        stateAgeMs,
       });
     const firstMs = (ageMs: number): number | undefined =>
       choice
--- a/test/serving/dispatch.test.ts
+++ b/test/serving/dispatch.test.ts
@@ -18,9 +18,9 @@
   end: "whole" | "broken" | "open";
 }
 
-function callerResponse(gone: AbortSignal, seen: Seen): progress.CallerResponse {
+function callerResponse(disconnected: AbortSignal, seen: Seen): progress.CallerResponse {
   return {
-    disconnected: gone,
+    disconnected,
     writeHead: (status) => {
       seen.status = status;
     },
--- a/test/serving/fleet-simulation.ts
+++ b/test/serving/fleet-simulation.ts
@@ -129,7 +129,7 @@
     const slotMs = slotMsOf(e);
     h.known.set(e.id, { at: now, waitMs: waitMsOf(e), slotMs, resident, warm, keys, tokens: 0 });
   };
-  const viewOf = (h: Host, id: string, place: number): choice.View => {
+  const viewOf = (h: Host, id: string, orderIndex: number): choice.View => {
     reads++;
     const state = h.known.get(id) ?? nothingKnown();
     const waitMs = new Array<number>(10).fill(state.waitMs);
@@ -145,7 +145,7 @@
       },
       holdings: { models: ["m"], resident: state.resident, warm: state.warm },
       pendingTokens: state.tokens,
-      orderIndex: place,
+      orderIndex,
       stateAgeMs: policy === "search" ? now - state.at : 0,
     });
   };
--- a/test/serving/residency.test.ts
+++ b/test/serving/residency.test.ts
@@ -11,17 +11,17 @@
 const OPTS = fixtures.residencyOf(3);
 const MODEL = "base";
 
-function waiter(seat: string, adapter: string | undefined, since: number): seatQueue.Waiter {
+function waiter(seat: string, adapter: string | undefined, askedAt: number): seatQueue.Waiter {
   return {
     seat,
     key: adapter === undefined ? MODEL : `${MODEL}/${adapter}`,
     model: MODEL,
     adapter,
     rank: 1,
-    askedAt: since,
+    askedAt,
     serviceMs: 100,
-    targetAt: since + 1000,
-    expiresAt: since + 5000,
+    targetAt: askedAt + 1000,
+    expiresAt: askedAt + 5000,
   };
 }
 
--- a/test/serving/retry-simulation.ts
+++ b/test/serving/retry-simulation.ts
@@ -58,9 +58,9 @@
   /** Requests per second at all hosts together. */
   readonly perS: number;
   /** Intervals in which the request rate is multiplied by `times`. */
-  readonly bursts: readonly (readonly [from: number, receivers: number, times: number])[];
+  readonly bursts: readonly (readonly [from: number, to: number, times: number])[];
   /** Intervals in which processes make as many retries as their budget allows. */
-  readonly retriesWanted: readonly (readonly [from: number, receivers: number])[];
+  readonly retriesWanted: readonly (readonly [from: number, to: number])[];
   readonly events: readonly HostEvent[];
   /** Number of hosts that a process of a given age is told of; undefined if it is told none. */
   readonly reportedHosts: (alive: number, ageMs: number) => number | undefined;
--- a/test/serving/search.test.ts
+++ b/test/serving/search.test.ts
@@ -34,9 +34,9 @@
     return { ...fixtures.endpoint(id, id), domain: `d${i % 5}` };
   });
   const arranged = fleet.buildLayout(endpoints, (e) => e.address, []);
-  const viewOf = (e: { readonly id: string }, place: number): choice.View => {
+  const viewOf = (e: { readonly id: string }, orderIndex: number): choice.View => {
     counts.reads++;
-    return fixtures.view(e.id, { orderIndex: place, ...over(e.id) });
+    return fixtures.view(e.id, { orderIndex, ...over(e.id) });
   };
   return { counts, engines: fleet.viewsFor(arranged, index, viewOf, () => 0) };
 }
--- a/test/serving/seat-waiting.test.ts
+++ b/test/serving/seat-waiting.test.ts
@@ -63,9 +63,9 @@
     const others = sites.map((s) => s.link.ask(managedEngines.seatRequest("other")));
     await Promise.all(others.map((o) => o.answer));
     let asks = 0;
-    for (const { engineManager: keeper } of sites) {
-      const ask = keeper.ask.bind(keeper);
-      keeper.ask = (...args) => {
+    for (const { engineManager } of sites) {
+      const ask = engineManager.ask.bind(engineManager);
+      engineManager.ask = (...args) => {
         asks++;
         ask(...args);
       };
