--- a/test/serving/admission.test.ts
+++ b/test/serving/admission.test.ts
@@ -8,9 +8,9 @@
 
 const REQUEST: admission.RequestTimes = { rank: 1, targetMs: 800, gapMs: 250, leftMs: 5000 };
 
-function estimate(waitMs: number, ownMs: number): choice.Estimate {
+function estimate(waitMs: number, serviceMs: number): choice.Estimate {
   const view = fixtures.view("1");
-  return { view, firstMs: waitMs + ownMs, serviceMs: ownMs, penaltyMs: 0 };
+  return { view, firstMs: waitMs + serviceMs, serviceMs, penaltyMs: 0 };
 }
 
 describe("admission", () => {
@@ -29,7 +29,7 @@
 
   it("refuses a request that would wait longer than its target, and tells when that wait is over", () => {
     const verdict = admission.decide(REQUEST, estimate(1200, 300));
-    expect(verdict).deep.include({ kind: "refuse", comeBackMs: 1200 });
+    expect(verdict).deep.include({ kind: "refuse", retryAfterMs: 1200 });
     expect(admission.decide(REQUEST, estimate(900, 300)).kind).equal("serve");
   });
 
