--- a/bench/red/serving-switches.ts
+++ b/bench/red/serving-switches.ts
@@ -141,7 +141,7 @@
   {
     name: "a request whose time for a seat is over asks no further engine",
     file: "serving/dispatch.js",
-    find: "this.seeker.seatWaitLeftMs(req, p) < MIN_REMAINING_MS",
+    find: "this.seatFinder.seatWaitLeftMs(req, p) < MIN_REMAINING_MS",
     put: "false",
     proof: "is refused once, and asks no further engines",
   },
--- a/src/entry/job.ts
+++ b/src/entry/job.ts
@@ -263,7 +263,7 @@
           endpoint: to.name,
           attempts,
           res,
-          recordBytes: recordBytes,
+          recordBytes,
           end: endAttempt,
         };
         return { kind: "begun", begun };
--- a/src/serving/dispatch.ts
+++ b/src/serving/dispatch.ts
@@ -52,7 +52,7 @@
 export class Dispatcher {
   private readonly budget: retryBudget.Budget;
   private readonly checks: sendChecks.SendChecks;
-  private readonly seeker: seatFinder.SeatFinder;
+  private readonly seatFinder: seatFinder.SeatFinder;
   private readonly sender: sending.Sender;
 
   constructor(
@@ -61,7 +61,7 @@
   ) {
     this.budget = new retryBudget.Budget(opts.retries, deps.clock);
     this.checks = new sendChecks.SendChecks(this.budget, deps);
-    this.seeker = new seatFinder.SeatFinder(opts.domain, deps);
+    this.seatFinder = new seatFinder.SeatFinder(opts.domain, deps);
     this.sender = new sending.Sender({ ...deps, checks: this.checks });
   }
 
@@ -143,16 +143,16 @@
       if (p.withheld > MAX_WITHHELD) return this.giveUp(req, res, p, false);
       if (p.sends >= sending.MAX_SENDS) return this.giveUp(req, res, p, false);
       if (this.checks.isQuarantined(req, p)) return this.giveUp(req, res, p, false);
-      const best = await this.seeker.pick(req, p, stopSignal);
+      const best = await this.seatFinder.pick(req, p, stopSignal);
       if (!best) return this.giveUp(req, res, p, false);
       // With so little time left to wait for a seat, each engine would deny it at once.
-      if (req.service.engine && this.seeker.seatWaitLeftMs(req, p) < MIN_REMAINING_MS) {
+      if (req.service.engine && this.seatFinder.seatWaitLeftMs(req, p) < MIN_REMAINING_MS) {
         p.retryAfterMs = best.firstMs - best.serviceMs;
         return this.giveUp(req, res, p, false);
       }
       p.expectedMs ??= Math.round(best.firstMs);
       // Admission is decided once: a request that was admitted and has waited is not refused because of later arrivals.
-      const verdict = p.isAdmissionDecided ? SERVE : this.seeker.admit(req, best);
+      const verdict = p.isAdmissionDecided ? SERVE : this.seatFinder.admit(req, best);
       if (verdict.kind === "refuse") {
         p.retryAfterMs = verdict.retryAfterMs;
         p.why = verdict.why;
@@ -161,7 +161,7 @@
       const permit = await this.acquirePermit(req, p, best.view, stopSignal);
       if (!permit) continue;
       const found = req.service.engine
-        ? await this.seeker.acquireSeat(req, best, p, stopSignal)
+        ? await this.seatFinder.acquireSeat(req, best, p, stopSignal)
         : SEATLESS;
       p.isAdmissionDecided ||= found.kind !== "diverted";
       if (found.kind === "diverted" || found.kind === "elsewhere") {
--- a/src/serving/metrics.ts
+++ b/src/serving/metrics.ts
@@ -142,9 +142,9 @@
 }
 
 /** Serves the metrics over HTTP at `ip:port`. Resolves once the server listens. */
-export async function serve(meters: Metrics, address: string): Promise<http.Server> {
+export async function serve(metrics: Metrics, address: string): Promise<http.Server> {
   const server = http.createServer((_req, res) => {
-    meters.text().then(
+    metrics.text().then(
       (text) => {
         res.writeHead(200, { "content-type": "text/plain; version=0.0.4" });
         res.end(text);
@@ -161,12 +161,12 @@
 
 /** Serves the metrics like {@link serve}. Logs a failure instead of throwing, as the daemon can work without metrics. */
 export async function tryServe(
-  meters: Metrics,
+  metrics: Metrics,
   address: string,
   lg: structuredLog.Log,
 ): Promise<void> {
   try {
-    const server = await serve(meters, address);
+    const server = await serve(metrics, address);
     const { port } = server.address() as net.AddressInfo;
     lg.info("The metrics are served.", { port });
   } catch (err) {
--- a/src/serving/progress.ts
+++ b/src/serving/progress.ts
@@ -47,7 +47,7 @@
   /** Times that the request left an engine's queue for a shorter one. */
   queueMoves: number;
   /** Monotonic ms since which the request waits for an endpoint: its arrival, or the end of its last send. */
-  waitingSince: number;
+  queuedAt: number;
   /** Whether a retry has been charged to the budget but not yet sent. */
   isRetryCharged: boolean;
   /** Whether the head of a streamed answer was passed on to the caller. */
@@ -85,7 +85,7 @@
     closedBy: undefined,
     opensInMs: undefined,
     queueMoves: 0,
-    waitingSince: a.arrivedAt,
+    queuedAt: a.arrivedAt,
     isRetryCharged: false,
     hasResponseBegun: false,
     isAdmissionDecided: false,
--- a/src/serving/seat-finder.ts
+++ b/src/serving/seat-finder.ts
@@ -83,7 +83,7 @@
       if (best || signal.aborted) return best;
       const isStarting = this.deps.endpoints.hasStartingEngine(a.service);
       const waitsUntil =
-        p.waitingSince + admission.maxEndpointWaitMs(timesOf(a, p.waitingSince), isStarting);
+        p.queuedAt + admission.maxEndpointWaitMs(timesOf(a, p.queuedAt), isStarting);
       const leftMs = Math.min(a.dueAt, waitsUntil) - this.deps.clock.mono();
       const opening = this.deps.endpoints.nextOpening(a.service);
       if (opening && !isStarting && opening.inMs > leftMs) {
@@ -140,9 +140,7 @@
 
   /** Milliseconds for which a request may still wait for a seat. */
   seatWaitLeftMs(a: callerRequest.CallerRequest, p: progress.Progress): number {
-    return (
-      p.waitingSince + admission.maxSeatWaitMs(timesOf(a, p.waitingSince)) - this.deps.clock.mono()
-    );
+    return p.queuedAt + admission.maxSeatWaitMs(timesOf(a, p.queuedAt)) - this.deps.clock.mono();
   }
 
   /** Requests a seat on an engine and waits for the answer, or until the request should move to another engine. */
--- a/src/serving/sending.ts
+++ b/src/serving/sending.ts
@@ -174,7 +174,7 @@
     const { p, endpoint } = send;
     p.why = `${endpoint.id} did not run the request: ${why}`;
     p.triedEndpoints.add(endpoint.id);
-    p.waitingSince = this.deps.clock.mono();
+    p.queuedAt = this.deps.clock.mono();
     this.logFailedSend(send, "An endpoint did not run a request.");
   }
 
@@ -233,7 +233,7 @@
       return res.disconnected.aborted ? "left" : ending.giveUp(this.deps.clock, req, res, p, true);
     }
     p.triedEndpoints.add(send.endpoint.id);
-    p.waitingSince = this.deps.clock.mono();
+    p.queuedAt = this.deps.clock.mono();
     this.settle(send, "failed", false);
     this.deps.log.warn("A send failed.", {
       request: req.meta.id,
@@ -241,7 +241,7 @@
       identity: identity.of(req),
       endpoint: send.endpoint.id,
       send: p.sends,
-      underWayMs: Math.round(p.waitingSince - send.sentAt),
+      underWayMs: Math.round(p.queuedAt - send.sentAt),
       why: p.why,
     });
     if (catalog.isRepeatable(req.route)) return undefined;
--- a/test/hedge.test.ts
+++ b/test/hedge.test.ts
@@ -11,7 +11,7 @@
   readonly fail: (why: string) => void;
 }
 
-function startHedged(most = 3) {
+function startHedged(maxCalls = 3) {
   const clk = new time.Time();
   const calls: PendingCall[] = [];
   let overdue = 0;
@@ -26,7 +26,7 @@
           },
         });
       }),
-    { hedgeAfterMs: 100, maxCalls: most },
+    { hedgeAfterMs: 100, maxCalls },
     { clock: clk, onOverdue: () => overdue++ },
   );
   return { clk, calls, first, overdue: () => overdue };
--- a/test/serving/dispatcher-fixture.ts
+++ b/test/serving/dispatcher-fixture.ts
@@ -115,11 +115,11 @@
 
 /** A response to a caller that records the calls made on it. */
 export function recorded(): {
-  readonly outlet: progress.CallerResponse;
+  readonly response: progress.CallerResponse;
   readonly seen: readonly string[];
 } {
   const seen: string[] = [];
-  const outlet: progress.CallerResponse = {
+  const response: progress.CallerResponse = {
     disconnected: new AbortController().signal,
     writeHead: (status) => seen.push(`begin ${status}`),
     write: () => undefined,
@@ -128,7 +128,7 @@
     sendWhole: (status) => seen.push(`answer ${status}`),
     refuse: (status) => seen.push(`refuse ${status}`),
   };
-  return { outlet, seen };
+  return { response, seen };
 }
 
 /** A streaming request for the adapter `a` of the model `m`, with a deadline `waitMs` from now. */
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -40,7 +40,7 @@
   let count = 0;
   const serve = async (): Promise<readonly string[]> => {
     const id = `r${count++}`;
-    const { outlet, seen } = dispatcherFixture.recorded();
+    const { response, seen } = dispatcherFixture.recorded();
     const meta: callerRequest.Meta = {
       id,
       waitMs: 1000,
@@ -48,7 +48,7 @@
       answerTokens: 0,
       parts: [],
     };
-    await made.dispatcher.serve(fixtures.request({ meta, headers: { "test-id": id } }), outlet);
+    await made.dispatcher.serve(fixtures.request({ meta, headers: { "test-id": id } }), response);
     return seen;
   };
   return {
--- a/test/serving/limited.test.ts
+++ b/test/serving/limited.test.ts
@@ -63,8 +63,8 @@
   const finish = (status: number, retryAfterMs?: number): void => {
     end = { status, retryAfterMs, tookMs: performance.now() - sentAt };
   };
-  const outlet: progress.CallerResponse = {
-    ...dispatcherFixture.recorded().outlet,
+  const response: progress.CallerResponse = {
+    ...dispatcherFixture.recorded().response,
     sendWhole: (status) => {
       finish(status);
     },
@@ -72,7 +72,7 @@
       finish(status, retryAfterMs);
     },
   };
-  await made.dispatcher.serve(fixtures.request({ meta, headers: { "test-id": id } }), outlet);
+  await made.dispatcher.serve(fixtures.request({ meta, headers: { "test-id": id } }), response);
   return end ?? { status: 0, retryAfterMs: undefined, tookMs: 0 };
 }
 
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -74,7 +74,7 @@
     dueAt: now + 1000,
   });
   await made.dispatcher.serve(a, {
-    ...dispatcherFixture.recorded().outlet,
+    ...dispatcherFixture.recorded().response,
     sendWhole: (status) => {
       finish(status);
     },
--- a/test/serving/presumed-gone.test.ts
+++ b/test/serving/presumed-gone.test.ts
@@ -35,12 +35,12 @@
     await managedEngines.eventually(() =>
       setup.known.views(service).every((v) => v.holdings !== undefined),
     );
-    const { outlet, seen } = dispatcherFixture.recorded();
+    const { response, seen } = dispatcherFixture.recorded();
     const kind = { kind: "stream", resumable: true, timeoutMs: 2000, attempts } as const;
     const route: catalog.Route = { ...fixtures.ROUTE, ...kind };
     const served = setup.dispatcher.serve(
       dispatcherFixture.streamRequest(service, route, 2000),
-      outlet,
+      response,
     );
     await managedEngines.eventually(() => daemon.heard.includes("ask"));
     daemon.tell({ kind: "grant", seat: 0, instance: "i1", version: 1 });
--- a/test/serving/quarantine.test.ts
+++ b/test/serving/quarantine.test.ts
@@ -54,14 +54,14 @@
      * retry.
      */
     ask: async (over: Parameters<typeof fixtures.request>[0] = {}) => {
-      const { outlet, seen } = dispatcherFixture.recorded();
+      const { response, seen } = dispatcherFixture.recorded();
       let retryAfterMs: number | undefined;
-      const refuse: typeof outlet.refuse = (status, why, ms) => {
+      const refuse: typeof response.refuse = (status, why, ms) => {
         retryAfterMs = ms;
-        outlet.refuse(status, why, ms);
+        response.refuse(status, why, ms);
       };
       await open.dispatcher.serve(fixtures.request({ route: CALL, ...over }), {
-        ...outlet,
+        ...response,
         refuse,
       });
       return { seen, retryAfterMs };
--- a/test/serving/seat-waiting.test.ts
+++ b/test/serving/seat-waiting.test.ts
@@ -34,10 +34,10 @@
     await managedEngines.eventually(() =>
       made.known.views(service).every((v) => v.state !== undefined),
     );
-    const { outlet, seen } = dispatcherFixture.recorded();
+    const { response, seen } = dispatcherFixture.recorded();
     const served = made.dispatcher.serve(
       dispatcherFixture.streamRequest(service, ROUTE, 4000),
-      outlet,
+      response,
     );
     await managedEngines.eventually(() => sites.some((s) => s.engineManager.seatCount() === 2));
     // The slot of the engine where the request does not wait becomes free.
--- a/test/serving/suspended.test.ts
+++ b/test/serving/suspended.test.ts
@@ -61,10 +61,10 @@
       setup.known.views(service).every((v) => v.holdings !== undefined),
     );
     const route: catalog.Route = { ...fixtures.ROUTE, kind: "stream", timeoutMs: WAIT_MS };
-    const { outlet } = dispatcherFixture.recorded();
+    const { response } = dispatcherFixture.recorded();
     const served = setup.dispatcher.serve(
       dispatcherFixture.streamRequest(service, route, WAIT_MS),
-      outlet,
+      response,
     );
     await managedEngines.eventually(() => daemon.heard.includes("ask"));
     host.suspend(SUSPENDED_MS);
--- a/test/serving/waiting-stream.ts
+++ b/test/serving/waiting-stream.ts
@@ -58,10 +58,10 @@
   await managedEngines.eventually(() =>
     setup.known.views(service).every((v) => v.holdings !== undefined),
   );
-  const { outlet, seen } = dispatcherFixture.recorded();
+  const { response, seen } = dispatcherFixture.recorded();
   const streamed: catalog.Route = { ...fixtures.ROUTE, kind: "stream", ...route };
   const req = dispatcherFixture.streamRequest(service, streamed, route.timeoutMs);
-  const served = setup.dispatcher.serve(req, outlet);
+  const served = setup.dispatcher.serve(req, response);
   await managedEngines.eventually(() => daemon.heard.includes("ask"));
   return {
     daemon,
--- a/test/serving/withheld.test.ts
+++ b/test/serving/withheld.test.ts
@@ -56,7 +56,7 @@
     id: string,
     overrides: Partial<callerRequest.CallerRequest> = {},
   ): Promise<readonly string[]> => {
-    const { outlet, seen } = dispatcherFixture.recorded();
+    const { response, seen } = dispatcherFixture.recorded();
     const meta: callerRequest.Meta = {
       id,
       waitMs: 1000,
@@ -66,7 +66,7 @@
     };
     const headers = { "test-id": id };
     const req = fixtures.request({ service: SERVICE, meta, headers, ...overrides });
-    return setup.dispatcher.serve(req, outlet).then(() => seen);
+    return setup.dispatcher.serve(req, response).then(() => seen);
   };
   const occupying = Array.from({ length: CONNECTIONS }, (_, n) => serve(`before${n}`));
   await timers.setTimeout(SETTLE_MS);
