--- a/bench/platform/documents.ts
+++ b/bench/platform/documents.ts
@@ -1,14 +1,14 @@
 /**
- * The documents that an operator of the platform writes, for tests and the soak.
+ * Builds the documents that operators and workers write to the platform's store, for tests and the soak.
  * @module
  */
 
-/** The only base model. */
+/** Name of the only base model. */
 export const MODEL = "m";
-/** Host that every route belongs to. */
+/** Value of the `host` header that every route matches. */
 export const HOST = "a.example";
 
-/** One route, in the words of the product's tests. */
+/** A route; fields left out get the defaults of {@link config}. */
 export interface Route {
   readonly name: string;
   readonly prefix: string;
@@ -26,7 +26,7 @@
   idleTimeoutMs: 5000,
 };
 
-/** A service of model workers with some slots for adapters. */
+/** A service of model workers with `slots` adapter slots each. */
 export function engines(name: string, slots: number): object {
   return {
     name,
@@ -48,7 +48,7 @@
   return { name, healthPath: "/healthz", maxConnections: 100 };
 }
 
-/** A configuration. */
+/** The configuration document with these routes, services and teams. */
 export function config(
   version: number,
   routes: readonly Route[],
@@ -73,7 +73,7 @@
   };
 }
 
-/** A worker's own entry. */
+/** The entry by which a worker registers in the store; `born` is the Unix time of its start in ms. */
 export function entry(
   service: string,
   address: string,
--- a/bench/platform/journal.ts
+++ b/bench/platform/journal.ts
@@ -1,61 +1,62 @@
 /**
- * What stand-ins for workers write down, for tests and the soak to judge.
+ * Record of the requests that stand-in workers received and ran, for checks by tests and the soak.
  * @module
  */
 
-/** One run of a request, as its worker saw it. */
+/** One execution of a request, as its worker saw it. Times are monotonic ms. */
 export interface Run {
   readonly id: string;
   readonly service: string;
   readonly instance: string;
   readonly adapter: string;
   readonly version: number;
-  /** Milliseconds that the worker was told are left. */
+  /** Milliseconds until the request's deadline, as told to the worker. */
   readonly leftMs: number;
-  /** Team that the worker was told, and whether it was shown a key. */
+  /** Team named to the worker, and whether the caller's API key was forwarded to it. */
   readonly team: string | undefined;
   readonly sawKey: boolean;
   readonly at: number;
-  /** When the worker stopped work on it. */
+  /** When the worker stopped working on the request; undefined while it runs. */
   endedAt: number | undefined;
 }
 
-/** A request that reached a worker, whether that ran it or not. */
+/** A request that reached a worker, whether or not the worker ran it. */
 export interface Arrival {
   readonly id: string;
   readonly service: string;
   readonly instance: string;
-  /** Requests a second that the worker named as its limit then. */
+  /** Limit that the worker announced at the time, in requests a second; undefined for none. */
   readonly limitPerS: number | undefined;
-  /** The worker said that it leaves. */
+  /** Whether the worker was announcing that it leaves. */
   readonly leaving: boolean;
-  /** The worker turned it away, and the milliseconds of the pause that it asked for. */
+  /** Whether the worker shed the request, and the pause in ms that it asked for; undefined for none. */
   readonly sheds: boolean;
   readonly pauseMs: number | undefined;
-  /** The worker was not the one meant, or had not the adapter. */
+  /** Whether the request was meant for another worker, or for an adapter that the worker did not hold. */
   isMisdirected: boolean;
   readonly at: number;
 }
 
-/** The end of a worker under a request. */
+/** A worker crash caused by a request. */
 export interface Crash {
   readonly id: string;
-  /** What the request said; the same in each of its attempts. */
+  /** Body of the request, which is the same in each of its attempts. */
   readonly body: string;
   readonly instance: string;
   readonly at: number;
 }
 
-/** What a stand-in tells about itself. */
+/** Everything that the stand-in workers recorded. */
 export interface Journal {
   readonly arrivals: Arrival[];
   readonly runs: Run[];
-  /** Workers that ended under a request. */
+  /** Worker crashes caused by requests. */
   readonly crashes: Crash[];
-  /** Orders that no worker may be given, as text. */
+  /** Descriptions of orders that no worker may be given. */
   readonly faults: string[];
 }
 
+/** An empty journal. */
 export function journal(): Journal {
   return { arrivals: [], runs: [], crashes: [], faults: [] };
 }
--- a/bench/platform/limits.ts
+++ b/bench/platform/limits.ts
@@ -1,24 +1,27 @@
 /**
- * Whether workers that name a limit got more requests than the platform's rule allows.
+ * Checks whether workers that announced a rate limit got more requests than the platform's rule allows.
  * @module
  */
 import type * as journals from "./journal.js";
 
-/** The rule: in any window, so many times what a limit allows, and so many requests besides. */
+/** Length in ms of the window over which the rule counts requests. */
 const WINDOW_MS = 4000;
+/** A window may hold the limit's requests times this factor. */
 const TIMES = 1.5;
+/** Requests that a window may hold on top of that. */
 const BESIDES = 5;
-/** Milliseconds from when a limit is first named until it binds, and until what a host sends counts. */
+/** Milliseconds from the first announcement of a limit until windows are checked against it. */
 export const BINDS_MS = 3000;
+/** Milliseconds from the announcement until a host's requests count in a window. */
 export const TOLD_MS = 500;
 const MS_PER_S = 1000;
 
-/** Requests that the rule allows in any window under a limit. */
+/** Requests that the rule allows in any window under a limit of `perS` requests a second. */
 export function allowed(perS: number): number {
   return TIMES * perS * (WINDOW_MS / MS_PER_S) + BESIDES;
 }
 
-/** The most of `times`, which are in order, within one window that ends at `from` or later, and the end of that window. */
+/** The largest number of `times` (ascending) in a window that ends at `from` or later, and the end of that window. */
 export function most(
   times: readonly number[],
   from: number,
@@ -33,8 +36,8 @@
 }
 
 /**
- * Every worker that got more in some window in which it named one limit throughout, a line each. Arrivals for which `counts`
- * is false count for nothing.
+ * One line for each worker that got too many requests in a window during which its announced limit did not change.
+ * Arrivals for which `counts` is false are left out.
  */
 export function beyond(
   arrivals: readonly journals.Arrival[],
@@ -47,7 +50,7 @@
   });
 }
 
-/** Arrivals at one worker, by the spans in which it named one limit throughout. */
+/** Splits the arrivals at one worker into the spans in which its announced limit did not change. */
 function spans(all: readonly journals.Arrival[]): readonly (readonly journals.Arrival[])[] {
   const out: journals.Arrival[][] = [];
   let limit: number | undefined;
--- a/bench/platform/notices.ts
+++ b/bench/platform/notices.ts
@@ -1,35 +1,36 @@
 /**
- * Whether workers that leave, or that asked for a pause, got requests against the platform's rules.
+ * Checks whether workers that announced that they leave, or that asked for a pause, got requests against the
+ * platform's rules.
  * @module
  */
 import type * as journals from "./journal.js";
 
-/** Milliseconds from a worker's 503 with a pause until what its host sends there counts. */
+/** Milliseconds from a worker's 503 that asks for a pause until requests from the entry host count as too many. */
 const TOLD_MS = 500;
-/** Requests that may reach it from that host in the rest of the pause. */
+/** Requests that may reach the worker from that entry host in the rest of the pause. */
 const BORNE = 2;
 
-/** How a request came to its entry host. */
+/** The entry host that a request was sent to, and when. */
 export interface Sent {
   readonly entry: string;
   readonly at: number;
 }
 
-/** An entry host passed on an answer of a worker. */
+/** An entry host passed on a worker's answer that announced that the worker leaves. */
 export interface Told {
   readonly entry: string;
   readonly instance: string;
   readonly at: number;
 }
 
-/** Whether a rule binds an entry host before a worker from one moment to another. */
+/** Whether a rule applies to an entry host's requests to a worker between two times. */
 export type Binds = (entry: string, instance: string, from: number, to: number) => boolean;
 
 const ALWAYS: Binds = () => true;
 
 /**
- * Requests that were sent to an entry host more than `drainMs` after it had passed on that a worker leaves, and reached that
- * worker from it; a line each.
+ * One line for each request that an entry host sent to a leaving worker, though the request came in more than `drainMs`
+ * after the host had passed on the worker's announcement.
  */
 export function reachedLeaving(
   arrivals: readonly journals.Arrival[],
@@ -53,7 +54,7 @@
   });
 }
 
-/** Entry hosts that sent more requests than may reach a worker within a pause that it had asked them for; a line each. */
+/** One line for each pause during which an entry host sent the worker more requests than allowed. */
 export function reachedPaused(
   arrivals: readonly journals.Arrival[],
   sent: ReadonlyMap<string, Sent>,
--- a/bench/platform/ports.ts
+++ b/bench/platform/ports.ts
@@ -1,14 +1,17 @@
 /**
- * Ports for tests and the soak, each given out once by a process.
+ * Finds free ports for tests and the soak. A process gives out each port once, until the range is used up.
  * @module
  */
 import * as net from "node:net";
 
-/** Below those that the system gives to sockets which name none, so that none of these can take one. */
+/**
+ * Range of ports, with the last one excluded. It lies below the ephemeral ports, which the system gives to sockets that
+ * bind to port 0, so that no such socket can take one of them.
+ */
 const FIRST = 20_000;
 const LAST = 32_000;
 
-/** Where this process goes on; processes that run side by side begin at different places. */
+/** The next port to try. It starts at random, so that processes that run side by side try different ports. */
 let next = FIRST + Math.floor(Math.random() * (LAST - FIRST));
 
 function isFree(ip: string, port: number): Promise<boolean> {
@@ -25,7 +28,7 @@
   });
 }
 
-/** A port of `ip` on which nothing listens and that this process has not given out before. */
+/** A port of `ip` on which nothing listens and that this process has not given out before. Throws if there is none. */
 export async function free(ip = "127.0.0.1"): Promise<number> {
   for (let tried = FIRST; tried < LAST; tried++) {
     const port = next;
--- a/bench/platform/retry-rule.ts
+++ b/bench/platform/retry-rule.ts
@@ -1,16 +1,16 @@
 /**
- * The platform's rule on retries over all hosts, for what judges plays and runs.
+ * The platform's limit on retries over all hosts together, for checks of recorded runs.
  * @module
  */
 
-/** What is configured, as the rule reads it. */
+/** The retry budget: in any window, `ratio` retries for each request and `slack` more. */
 export interface Bounds {
   readonly windowMs: number;
   readonly ratio: number;
   readonly slack: number;
 }
 
-/** By how many retries a window exceeds what is allowed in it. */
+/** Retries in a window that starts at `from`, and the number allowed in it. */
 export interface Window {
   readonly from: number;
   readonly retries: number;
@@ -18,8 +18,9 @@
 }
 
 /**
- * The window that begins with a retry and exceeds the rule by most; undefined where there were none. A window's requests are
- * those in it, in the one before, or in the one half a window before, whichever are most. Times are in order.
+ * Of the windows that begin with a retry, the one that exceeds its allowance by most; undefined when there were no retries.
+ * The allowance counts the requests in the window itself, in the window before it, or in the one that starts half a window
+ * earlier, whichever is most. `asked` and `retried` are ascending times of requests and retries.
  */
 export function worst(
   asked: readonly number[],
@@ -38,7 +39,7 @@
   return found;
 }
 
-/** The number of `times`, which are in order, from `from` to `to`, both included. */
+/** The number of `times` (ascending) from `from` to `to`, both included. */
 function within(times: readonly number[], from: number, to: number): number {
   return firstAfter(times, to) - firstAfter(times, from - 1e-9);
 }
--- a/bench/platform/store.ts
+++ b/bench/platform/store.ts
@@ -1,6 +1,6 @@
 /**
  * A stand-in for the platform's key-value store, by its published protocol: reads, ranges, watches
- * and conditional writes. Leases never end by themselves. It can fail as the platform's store does.
+ * and conditional writes. Leases never expire by themselves. It can fail as the platform's store does.
  * @module
  */
 import * as timers from "node:timers/promises";
@@ -20,28 +20,29 @@
   readonly body: object;
 }
 
-/** How the store behaves. */
+/** Faults that the store shows. */
 export interface Faults {
-  /** `busy` refuses; `silent` takes calls and does not answer. */
+  /** `busy` answers 503; `silent` accepts calls and does not answer them. */
   mode: "well" | "busy" | "silent";
-  /** Milliseconds that each answer is held back. */
+  /** Milliseconds by which each answer is delayed. */
   delayMs: number;
-  /** Part of the conditional writes that are done and not answered. */
+  /** Share of the conditional writes that are applied but not answered. */
   loseWrites: number;
 }
 
-/** Milliseconds after which a call that the store does not answer is cut. */
+/** Milliseconds after which the connection of an unanswered call is closed. */
 const SILENT_MS = 5000;
 
+/** The stand-in store. */
 export class Store {
   readonly items = new Map<string, Item>();
   readonly faults: Faults = { mode: "well", delayMs: 0, loseWrites: 0 };
   private history: Event[] = [];
-  /** Changes up to this revision are forgotten. */
+  /** Changes up to this revision are compacted away. */
   private forgotten = 0;
   private revision = 0;
   private waiting: (() => void)[] = [];
-  /** Calls taken while silent. */
+  /** Number of calls accepted while silent. */
   unanswered = 0;
   private readonly listener = new servers.Listener((req, res) => this.answer(req, res));
 
@@ -61,7 +62,7 @@
     this.write(key, Buffer.from(JSON.stringify(value)).toString("base64"));
   }
 
-  /** Writes what a key holds, as base64. */
+  /** Writes the value of a key, given as base64. */
   private write(key: string, text: string): void {
     const revision = ++this.revision;
     const created = this.items.get(key)?.created ?? revision;
@@ -76,7 +77,7 @@
     this.note({ revision, body: { key, revision, tombstone: true } });
   }
 
-  /** Forgets all changes so far, and cuts the watches that wait. */
+  /** Drops the history of all changes so far, and wakes the waiting watches, which then answer 410. */
   compact(): void {
     this.history = [];
     this.forgotten = this.revision;
--- a/bench/platform/worker-base.ts
+++ b/bench/platform/worker-base.ts
@@ -1,5 +1,5 @@
 /**
- * What the stand-ins for the platform's workers share: their moods, what they say of themselves, and what they write down.
+ * Base class of the stand-in workers: how they behave, what they announce in their answers, and what they record.
  * @module
  */
 import * as timers from "node:timers/promises";
@@ -7,39 +7,39 @@
 import type * as journals from "./journal.js";
 import * as servers from "./http.js";
 
-/** How a worker behaves. */
+/** How a worker behaves; every value but `well` is a fault. */
 export type Mood =
   | "well"
-  /** Turns most of its requests away before it runs them. */
+  /** Rejects most of its requests with a 503 before it runs them. */
   | "shedding"
-  /** Answers a part of its requests with its own failure. */
+  /** Answers some of its requests with a 500. */
   | "failing"
-  /** Takes requests and answers nothing. */
+  /** Accepts some of its requests and never answers them. */
   | "hanging"
-  /** Ten times as slow. */
+  /** Takes ten times as long. */
   | "slow"
-  /** Breaks a part of its answers off in the middle. */
+  /** Breaks off some of its answers in the middle. */
   | "breaking"
-  /** Sends a second answer after a part of its answers. */
+  /** Sends a second response after some of its responses. */
   | "doubling"
-  /** Runs a part of its requests, and their answers are lost. */
+  /** Runs some of its requests and closes the connection without an answer. */
   | "losing"
-  /** Leaves orders unanswered and carries them out later. */
+  /** Leaves some orders unanswered and carries them out later. */
   | "late";
 
-/** Part of its requests or orders that a worker in a bad mood treats badly. */
+/** Share of its requests or orders that a faulty worker treats wrongly. */
 const BAD_PART = 0.4;
-/** Part of its requests that a worker turns away that sheds load. */
+/** Share of its requests that a worker rejects while it sheds load, unless set otherwise. */
 const SHED_PART = 0.9;
 const MISDIRECTED = 421;
 const UNAVAILABLE = 503;
 const MS_PER_S = 1000;
-/** A body that holds this text ends its worker some ms after it is begun. */
+/** A request whose body contains this text crashes its worker. */
 export const FATAL = "ends its worker";
-/** Milliseconds from the begin of such a request to the worker's end. */
+/** Milliseconds from the start of such a request to the crash. */
 const FATAL_MS = 10;
 
-/** The first value of a header. */
+/** A header's value as a string; empty when it is missing. */
 export const one = (v: string | readonly string[] | undefined): string => String(v ?? "");
 
 function teamOf(req: http.IncomingMessage): string | undefined {
@@ -47,21 +47,22 @@
   return team === undefined ? undefined : one(team);
 }
 
+/** A stand-in worker. */
 export abstract class Base {
   mood: Mood = "well";
-  /** Requests a second that it names as its limit. */
+  /** Limit that it announces, in requests a second; undefined for none. */
   limitPerS: number | undefined;
-  /** Says in its answers that it leaves. */
+  /** Whether its answers announce that it leaves. */
   leaving = false;
-  /** Seconds for which it asks for a pause when it sheds a request; undefined for none. */
+  /** Pause in seconds that it asks for when it sheds a request; undefined for none. */
   pauseS: number | undefined;
-  /** Part of its requests that it turns away while it sheds load. */
+  /** Share of its requests that it rejects while it sheds load. */
   shedPart = SHED_PART;
-  /** What it calls itself; a new start may have the name of the one before. */
+  /** Instance id that it reports; a worker that restarts may keep the id that it had before. */
   name: string;
-  /** Unix ms of its start, where it tells it. */
+  /** Start time in Unix ms, which it reports; undefined when it does not report one. */
   born: number | undefined;
-  /** Called once a request has ended it. */
+  /** Called after a request has crashed the worker. */
   ended: () => void = () => undefined;
   private isOver = false;
   protected readonly listener = new servers.Listener((req, res) => this.answer(req, res));
@@ -82,7 +83,7 @@
     await this.listener.start(host, port);
   }
 
-  /** Ends at once, as in a crash. */
+  /** Stops at once and closes all connections, as in a crash. */
   stop(): void {
     this.listener.stop();
   }
@@ -100,13 +101,13 @@
     res.end();
   }
 
-  /** Turns a request away that it is not meant for, or whose adapter it does not hold. */
+  /** Rejects a request that is meant for another worker, or whose adapter it does not hold. */
   protected misdirected(res: http.ServerResponse, arrival: journals.Arrival): void {
     arrival.isMisdirected = true;
     this.reject(res, MISDIRECTED, arrival.id);
   }
 
-  /** Writes down that a request arrived. */
+  /** Records the arrival of a request, and decides whether it is shed. */
   protected arrived(id: string): journals.Arrival {
     const { service, instance, limitPerS, leaving, pauseS } = this;
     const sheds = this.mood === "shedding" && Math.random() < this.shedPart;
@@ -125,13 +126,13 @@
     return arrival;
   }
 
-  /** Turns a request away, and asks for a pause where it does. */
+  /** Rejects a request with a 503, asking for a pause if {@link pauseS} is set. */
   protected shed(res: http.ServerResponse, { id }: journals.Arrival): void {
     if (this.pauseS !== undefined) res.setHeader("retry-after", String(this.pauseS));
     this.reject(res, UNAVAILABLE, id);
   }
 
-  /** Writes a run down; it ends with its connection. */
+  /** Records a run, which ends when the response's connection closes. */
   protected begin(
     req: http.IncomingMessage,
     res: http.ServerResponse,
@@ -162,7 +163,7 @@
     return { "x-sumacfield-attempt-id": id, ...signature, ...this.notices() };
   }
 
-  /** What it says of itself in each answer. */
+  /** Headers of each answer that announce its limit and that it leaves. */
   private notices(): Record<string, string> {
     const { limitPerS, leaving } = this;
     return {
@@ -171,7 +172,7 @@
     };
   }
 
-  /** Ends the worker where the request that it begins to run is such a one; whether it did. */
+  /** Crashes the worker if the body contains {@link CRASH_MARKER}. Returns whether it crashed. */
   protected async endsUnder(run: journals.Run, body: string): Promise<boolean> {
     if (!body.includes(FATAL)) return false;
     await timers.setTimeout(FATAL_MS);
@@ -183,7 +184,7 @@
     return true;
   }
 
-  /** Sends a second answer that belongs to no request. */
+  /** Sends a second response, which belongs to no request, after this one. */
   protected double(res: http.ServerResponse): void {
     const { socket } = res;
     res.once("finish", () => {
--- a/bench/platform/worker.ts
+++ b/bench/platform/worker.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for the platform's workers, by their published protocol: a model worker whose streams
- * tell which request, adapter and version they belong to, and a plain one. Each writes down what it
+ * Stand-ins for the platform's workers, by their published protocol: a model worker, whose streams
+ * name the request, adapter and version they belong to, and a plain one. Each records what it
  * ran, and can fail as the platform's workers do.
  * @module
  */
@@ -11,33 +11,37 @@
 import * as servers from "./http.js";
 import * as base from "./worker-base.js";
 
+/** Factor by which a slow worker takes longer. */
 const SLOW_FACTOR = 10;
-/** Milliseconds after which an order that was not answered is carried out. */
+/** Milliseconds until a late worker carries out an order that it left unanswered. */
 const LATE_MS = 2000;
-/** Milliseconds that a load takes. */
+/** Milliseconds that loading an adapter takes. */
 const LOAD_MS = 30;
-/** Events of a stream. */
+/** Number of events in a stream. */
 export const EVENTS = 5;
 
-/** The `n`th event of a stream. */
+/** The text of a stream's `n`th event; `n` starts at 1. */
 export function event(id: string, adapter: string, version: number, n: number): string {
   return `id: ${n}\ndata: ${id} ${adapter}@${version} ${n} of ${EVENTS}\n\n`;
 }
 
+/** An adapter that occupies a slot. */
 interface Held {
   version: number;
   ready: boolean;
   runs: number;
+  /** It was ordered to unload and goes once nothing runs on it. */
   closing: boolean;
 }
 
-/** A model worker with some slots for adapters, of which it holds none at its start. */
+/** A model worker with a number of adapter slots, all empty at its start. */
 export class Engine extends base.Base {
   readonly held = new Map<string, Held>();
-  /** Milliseconds between two events. */
+  /** Milliseconds between two events of a stream. */
   eventMs = 5;
-  /** The same for one adapter. */
+  /** Another interval for the streams of one adapter. */
   slow: { readonly adapter: string; readonly eventMs: number } | undefined;
+  /** Number of orders carried out. */
   private sequence = 0;
 
   constructor(
@@ -97,7 +101,7 @@
     servers.say(res, this.carryOut(body), {});
   }
 
-  /** Carries an order out if it still holds; the status of its answer. */
+  /** Carries out an order unless its expected sequence is outdated. Returns the HTTP status of the answer. */
   private carryOut(body: servers.Body): number {
     if (body.holder === undefined || body.fencingToken === undefined) return 400;
     if (body.expected !== undefined && body.expected !== this.sequence) return 409;
@@ -124,7 +128,7 @@
     return 202;
   }
 
-  /** Drops an adapter that is to go once nothing runs on it. */
+  /** Unloads an adapter that was ordered to unload, if nothing runs on it. */
   private settle(adapter: string): void {
     const h = this.held.get(adapter);
     if (h?.closing && h.runs === 0) this.held.delete(adapter);
@@ -204,7 +208,7 @@
   }
 }
 
-/** A plain worker, whose answer names the request and its body. */
+/** A plain worker, whose answers repeat the request's id and body. */
 export class Plain extends base.Base {
   /** Milliseconds that a call takes. */
   callMs = 15;
@@ -252,7 +256,7 @@
   }
 }
 
-/** The whole answer of a plain worker. */
+/** The complete answer of a plain worker to a request. */
 export function answerOf(id: string, body: string): string {
   return `${id} got ${body}`;
 }
--- a/test/ports.test.ts
+++ b/test/ports.test.ts
@@ -5,18 +5,18 @@
 const { expect } = chai;
 
 const DRAWS = 200;
-/** The first port that the system gives to a socket which names none, on the machines at hand. */
+/** Linux's lowest ephemeral port by default, one that the system gives to sockets which bind to port 0. */
 const EPHEMERAL = 32_768;
 
-describe("a free port", () => {
-  it("is given out once, and never one that the system gives to others", async () => {
+describe("findFree", () => {
+  it("returns each port once, and none of the ephemeral range", async () => {
     const drawn: number[] = [];
     for (let i = 0; i < DRAWS; i++) drawn.push(await ports.free());
     expect(new Set(drawn).size).equal(DRAWS);
     expect(Math.max(...drawn)).below(EPHEMERAL);
   });
 
-  it("is passed over while somebody listens on it", async () => {
+  it("skips a port that something listens on", async () => {
     const taken = (await ports.free()) + 1;
     const server = net.createServer();
     await new Promise<void>((resolve) => {
