--- a/bench/soak/caller.ts
+++ b/bench/soak/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller: keeps one connection to an entry daemon for as long as it lasts, sends one request after
- * the other over it, and writes down what came of each.
+ * A caller: keeps a connection to an entry daemon open as long as possible, sends one request after
+ * the other over it, and records the result of each.
  * @module
  */
 import * as timers from "node:timers/promises";
@@ -10,23 +10,25 @@
 import type * as history from "./history.js";
 import * as teams from "./teams.js";
 
-/** What a caller may ask for. */
+/** A request to send. */
 export interface Wish {
   readonly kind: history.Kind;
   readonly path: string;
   readonly adapter: string;
+  /** Milliseconds until its deadline. */
   readonly waitMs: number;
-  /** Newest version of the adapter declared some time ago. */
+  /** Newest version of the adapter that must be in force. */
   readonly version: number;
-  /** Milliseconds after which the caller goes away; undefined when it stays. */
+  /** Milliseconds after which the caller disconnects; undefined if it waits for the answer. */
   readonly leaveMs: number | undefined;
-  /** Names a request that comes again and again and ends its workers; undefined for all others. */
+  /** Name of a request that is sent repeatedly and crashes its workers; undefined for all others. */
   readonly fatal?: string;
 }
 
+/** What callers need from the run: what to send, where to, and where to record the result. */
 export interface World {
   readonly wish: () => Wish;
-  /** An entry daemon as the balancer gives it out: its name and `ip:port`. */
+  /** The name and `ip:port` of an entry daemon in the load balancer's rotation; undefined for none. */
   readonly entry: () => { readonly name: string; readonly address: string } | undefined;
   readonly pauseMs: () => number;
   readonly saw: (s: history.Seen) => void;
@@ -34,12 +36,12 @@
   readonly key: () => string;
 }
 
-/** Milliseconds until a caller without an entry daemon looks for one again. */
+/** Milliseconds until a caller that got no entry daemon asks for one again. */
 const LOOK_MS = 50;
-/** Milliseconds past its time after which a caller gives up an answer that does not come. */
+/** Milliseconds after a request's deadline at which its caller stops waiting for the answer. */
 const BORNE_MS = 4000;
 
-/** Sends one request on a connection of its own. */
+/** Sends one request on a new connection. */
 export async function once(w: World): Promise<void> {
   const to = w.entry();
   if (!to) return;
@@ -48,7 +50,7 @@
   await client.destroy();
 }
 
-/** Sends requests until `signal` aborts; resolves once its last one is over. */
+/** Sends requests until `signal` aborts; resolves once the last one has ended. */
 export async function run(w: World, signal: AbortSignal): Promise<void> {
   while (!signal.aborted) {
     const to = w.entry();
@@ -75,7 +77,7 @@
   }
 }
 
-/** Sends one request; whether its connection can be used again. */
+/** Sends one request. Returns whether its connection can be used again. */
 async function ask(w: World, client: undici.Client, entry: string): Promise<boolean> {
   const wish = w.wish();
   const id = w.nextId();
@@ -123,7 +125,7 @@
   clearTimeout(timer);
   const endedAt = performance.now();
   const { kind, path, adapter, waitMs, version } = wish;
-  // A connection that never stood is the balancer's to mend, and no request.
+  // A failed connect is left to the load balancer and does not count as a request.
   if (passedOn) {
     w.saw({ id, kind, key, entry, path, adapter, body, waitMs, sentAt, endedAt, version, end });
   }
--- a/bench/soak/daemon.ts
+++ b/bench/soak/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon as a process of its own: its settings file, its log, and the signals it gets.
+ * Runs one daemon as a process: its settings file, its log, and the signals it gets.
  * @module
  */
 import * as child from "node:child_process";
@@ -9,11 +9,15 @@
 import * as script from "../../deploy/script.cjs";
 import * as teams from "./teams.js";
 
-/** What all entry daemons together may retry of the requests for a service: a part of them, and some besides. */
+/**
+ * Retry budget of all entry daemons together: in a window of `windowS` seconds, they may retry the share `ratio` of the
+ * requests for a service, and `slack` requests more.
+ */
 export const RETRIES = { ratio: 0.2, slack: 58, windowS: 10 };
 
-/** Milliseconds from SIGTERM to SIGKILL, and of the other bounds that the daemons are told. */
+/** Milliseconds that a daemon has between SIGTERM and SIGKILL. */
 export const GRACE_MS = 5000;
+/** Milliseconds after which no more requests may be sent to a leaving worker, as set in the daemons' settings. */
 export const DRAIN_MS = 2000;
 const BOUNDS = {
   graceS: GRACE_MS / 1000,
@@ -25,34 +29,35 @@
   ...teams.BOUNDS,
 };
 
-/** Where a daemon runs and whom it meets. */
+/** Addresses and ports of a daemon and of the parts it talks to. */
 export interface Plan {
   readonly name: string;
   readonly role: "entry" | "endpoint";
   readonly ip: string;
   readonly seatPort: number;
   readonly store: string;
-  /** Callers' and readiness port of an entry daemon. */
+  /** Ports of an entry daemon for callers and for readiness checks. */
   readonly ports?: readonly [number, number];
   /** Address of the engine beside an endpoint daemon. */
   readonly engine?: string;
   readonly service?: string;
 }
 
+/** An entry or endpoint daemon, which can be started again after its end. */
 export class Daemon {
   private process: child.ChildProcess | undefined;
   private readonly file: string;
   private readonly log: number;
-  /** It was told to end. */
+  /** Whether it was told to end. */
   private expected = false;
-  /** It was frozen while it was to end. */
+  /** Whether it is frozen; a frozen daemon cannot stop within its grace period. */
   private frozen = false;
 
   constructor(
     readonly plan: Plan,
     private readonly main: string,
     folder: string,
-    /** It ended by itself, or not as it should. */
+    /** Called when it ended by itself, or wrongly after it was told to. */
     private readonly fault: (what: string) => void,
   ) {
     this.file = path.join(folder, `${plan.name}.yaml`);
@@ -90,7 +95,7 @@
     fs.writeFileSync(this.file, yaml.stringify(settings));
   }
 
-  /** Starts it, unless another trouble's end did so before. */
+  /** Starts it, unless it runs already, as when the end of another fault has started it. */
   start(): void {
     if (this.process) return;
     this.expected = false;
@@ -116,7 +121,7 @@
     return new Promise((resolve) => at.once("exit", resolve));
   }
 
-  /** Kills it at once. */
+  /** Kills it with SIGKILL, and resolves once it has ended. */
   async kill(): Promise<void> {
     this.expected = true;
     const gone = this.gone();
@@ -124,7 +129,7 @@
     await gone;
   }
 
-  /** Asks it to stop; it has its grace to do so. */
+  /** Stops it with SIGTERM, and kills it if it does not end within {@link GRACE_MS}. */
   async stop(): Promise<void> {
     this.expected = true;
     const gone = this.gone();
@@ -139,7 +144,7 @@
     if (code !== 0 && code !== null) this.fault(`${this.plan.name} ended with status ${code}`);
   }
 
-  /** Stops it where it is, and lets it go on. */
+  /** Suspends the process until {@link thaw}. */
   freeze(): void {
     this.frozen = true;
     this.process?.kill("SIGSTOP");
@@ -150,7 +155,7 @@
     this.process?.kill("SIGCONT");
   }
 
-  /** Tells it that its settings changed. */
+  /** Writes its settings again and makes it reload them, with SIGHUP. */
   reload(): void {
     this.write();
     this.process?.kill("SIGHUP");
--- a/bench/soak/disturbances.ts
+++ b/bench/soak/disturbances.ts
@@ -1,21 +1,21 @@
 /**
- * What was done to the parts of a site in a run of the soak, and when it may excuse what was seen.
+ * Record of the faults injected into a run of the soak; each may excuse what was observed during it and shortly after.
  * @module
  */
 
-/** Something that was done to the system, and what it may excuse. */
+/** One fault that was injected into one part of the site. */
 export interface Disturbance {
   readonly kind: string;
-  /** Name of the daemon, worker or store it struck. */
+  /** Name of the affected daemon, worker or its place, link or store. */
   readonly on: string;
   readonly from: number;
   to: number;
 }
 
-/** Milliseconds for which a trouble may show after its end: a host is in touch after three seconds. */
+/** Milliseconds for which a fault may show effects after its end: a host is back in contact after three seconds. */
 const AFTER_MS = 3500;
 
-/** Whether some part was disturbed, or shortly before, between two moments. */
+/** Whether a disturbance that `which` selects was active, or had ended shortly before, between two times. */
 export function any(
   list: readonly Disturbance[],
   from: number,
@@ -25,7 +25,7 @@
   return list.some((d) => d.from < to && d.to + AFTER_MS > from && which(d));
 }
 
-/** The place of a worker, of which the instance there is the `N`th start. */
+/** The place of a worker: its instance name without the `.N` that counts the starts of workers. */
 export function placeOf(instance: string): string {
   return instance.replace(/\.\d+$/, "");
 }
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -1,6 +1,6 @@
 /**
- * The troubles of the soak: each strikes something, lasts a while and is mended. Which come when is
- * drawn from the seed.
+ * The faults that the soak injects. Each affects some parts of the site, lasts a while and is undone.
+ * Which faults occur when is drawn from the seed.
  * @module
  */
 import * as timers from "node:timers/promises";
@@ -11,15 +11,17 @@
 import * as history from "./history.js";
 import type * as site from "./site.js";
 
-/** Draws from the seed. */
+/** A random sequence of the seed. */
 export interface Draw {
-  /** From 0 up to 1. */
+  /** Draws a number from 0 up to, not including, 1. */
   readonly part: () => number;
-  /** From `min` up to `max`. */
+  /** Draws a number from `min` up to, not including, `max`. */
   readonly between: (min: number, max: number) => number;
+  /** Draws an element of a list that is not empty. */
   readonly one: <T>(list: readonly T[]) => T;
 }
 
+/** What faults act on. */
 export interface Deps {
   readonly site: site.Site;
   readonly draw: Draw;
@@ -27,23 +29,24 @@
   readonly world: caller.World;
 }
 
-/** A trouble that struck: on what, and how it is mended. */
+/** A fault in progress: the names of the parts it affects, and how to undo it. */
 export interface Struck {
   readonly on: readonly string[];
   readonly end: () => Promise<void> | void;
 }
 
+/** A kind of fault. */
 export interface Fault {
   readonly name: string;
-  /** Milliseconds that it lasts, at least and at most. */
+  /** Range of the milliseconds that it lasts. */
   readonly lasts: readonly [number, number];
-  /** Undefined when there is nothing that it could strike now. */
+  /** Starts it. Returns undefined when there is nothing that it could affect now. */
   readonly begin: (d: Deps) => Struck | undefined;
 }
 
 const nothing = (): undefined => undefined;
 
-/** A daemon that runs, of those given. */
+/** Draws one of the daemons that run; undefined when none does. */
 function running(d: Deps, of: readonly daemons.Daemon[]): daemons.Daemon | undefined {
   const up = of.filter((x) => x.running);
   return up.length === 0 ? undefined : d.draw.one(up);
@@ -124,7 +127,7 @@
   };
 }
 
-/** Trouble on the links to a worker and to the daemon beside it. */
+/** A fault of the links to a worker and to the endpoint daemon beside it. */
 function link(name: string, begin: (d: Deps, p: site.Place) => void): Fault {
   return {
     name: `link ${name}`,
@@ -162,9 +165,9 @@
 const entries = (s: site.Site): readonly daemons.Daemon[] => s.entries;
 const endpoints = (s: site.Site): readonly daemons.Daemon[] => s.endpoints;
 
-/** Adapters that callers ask for. */
+/** Names of the adapters that callers request. */
 export const ADAPTERS = Array.from({ length: 14 }, (_, i) => `a${i + 1}`);
-/** Routes that come and go. */
+/** Paths of the routes that the operator adds and removes. */
 export const PATHS = ["/p1/", "/p2/", "/p3/"];
 
 const workerLeaves: Fault = {
@@ -179,7 +182,7 @@
       on: [],
       end: async () => {
         const now = performance.now();
-        // Those that could not hear that it leaves may have sent to it until now.
+        // Entry daemons that could not learn that it leaves may have sent requests to it until now.
         d.history.disturbances.push({ kind: "worker ends", on: instance, from: now, to: now });
         await d.site.restart(at, instance);
       },
@@ -187,13 +190,13 @@
   },
 };
 
-/** Milliseconds from one attempt of a request that ends its workers to the next, and of all of them. */
+/** Ranges of the milliseconds between two attempts of a request that crashes its workers, and of all of its attempts. */
 const AGAIN_MS: readonly [number, number] = [20, 400];
 const COMES_MS: readonly [number, number] = [3000, 9000];
 const FATAL_KINDS = ["stream", "call", "call_once"] as const;
 const FATAL_PATHS = { stream: "/s/", call: "/c/", call_once: "/n/" } as const;
 
-/** One request that ends its workers comes again and again, at any entry host, for a while. */
+/** Sends one request that crashes its workers repeatedly for a while, to any entry host. */
 export async function fatal(d: Deps): Promise<void> {
   const kind = d.draw.one(FATAL_KINDS);
   const wish: caller.Wish = {
@@ -214,12 +217,12 @@
   await Promise.all(attempts);
 }
 
-/** Entry daemons that go while a service sheds load, and milliseconds from one to the next. */
+/** Number of faults that end entry daemons while a service sheds load, and range of the milliseconds between them. */
 const GO = 6;
 const GO_MS: readonly [number, number] = [200, 1500];
 const GONE = [killed("entry daemon", entries), stopped("entry daemon", entries)];
 
-/** All workers of one service shed load, while entry daemons are killed or asked to stop, one after the other. */
+/** Lets all workers of one service shed load while entry daemons are killed or asked to stop, one after the other. */
 export async function shedding(
   d: Deps,
   strike: (f: Fault) => Promise<void> | undefined,
@@ -236,11 +239,11 @@
   for (const w of struck) if (w.mood === "shedding") w.mood = "well";
 }
 
-/** Requests a second that a worker in need names, and milliseconds for which it does. */
+/** Range of the limits that a worker announces, in requests a second, and of the milliseconds for which it does. */
 const LIMIT_PER_S: readonly [number, number] = [0.5, 6];
 const LIMITED_MS: readonly [number, number] = [4000, 9000];
 
-/** A worker names a limit for a while, and then none; over by `until`. */
+/** Lets a worker announce a limit for a while, at most until `until`. */
 export async function limiting(d: Deps, until: number): Promise<void> {
   const { worker } = d.draw.one(d.site.places);
   worker.limitPerS = Math.round(d.draw.between(...LIMIT_PER_S) * 10) / 10;
@@ -252,10 +255,10 @@
 const storeIsBusy = store("is busy", (d) => {
   d.site.store.faults.mode = "busy";
 });
-/** Milliseconds from when the store is out until a worker leaves. */
+/** Range of the milliseconds from the start of the store's outage until a worker leaves. */
 const UNHEARD_MS: readonly [number, number] = [100, 1200];
 
-/** A worker leaves while the store is out, so that only its answers say so. */
+/** Lets a worker leave while the store is unavailable, so that only the worker's answers announce it. */
 export async function unheard(
   d: Deps,
   strike: (f: Fault) => Promise<void> | undefined,
@@ -265,14 +268,14 @@
   await Promise.all([out, strike(workerLeaves)]);
 }
 
-/** Part of the times at which all workers of a service ask for a pause. */
+/** Share of the occasions on which all workers of a service ask for a pause, instead of some. */
 const ALL_PART = 0.3;
-/** Seconds of a pause that a worker in need asks for, part of its requests that it sheds, and milliseconds for which it does. */
+/** Ranges of the pause in seconds, of the share of requests that a worker sheds, and of the milliseconds for which it does. */
 const PAUSE_S: readonly [number, number] = [0.3, 3];
 const SHED_PART: readonly [number, number] = [0.3, 1];
 const IN_NEED_MS: readonly [number, number] = [2000, 6000];
 
-/** Some workers shed requests and ask for pauses for a while; over by `until`. */
+/** Lets some workers of a service shed requests and ask for pauses for a while, at most until `until`. */
 export async function pausing(d: Deps, until: number): Promise<void> {
   const all = d.draw.part() < ALL_PART;
   const { service } = d.draw.one(d.site.places).worker;
@@ -292,8 +295,9 @@
   }
 }
 
+/** Kinds of fault that a run chooses from. */
 export const FAULTS: readonly Fault[] = [
-  // Planned, and more frequent than any one trouble.
+  // Planned work, which is listed several times to be more frequent than any one fault.
   workerLeaves,
   workerLeaves,
   workerLeaves,
@@ -385,7 +389,7 @@
   },
 ];
 
-/** Changes that an operator makes; they are no trouble and excuse nothing. */
+/** Makes a change as an operator does. It is not recorded as a disturbance, so it excuses nothing. */
 export function operate(d: Deps): void {
   if (d.draw.part() < 0.5) {
     d.site.declare(d.draw.one(ADAPTERS));
--- a/bench/soak/history.ts
+++ b/bench/soak/history.ts
@@ -1,6 +1,6 @@
 /**
- * What callers, workers and the soak itself saw, and which promises it breaks. It knows the pages'
- * promises and shares no code with the daemons.
+ * The record of a run, as callers, workers and the soak itself observed it, and the checks of the
+ * documented promises against it. The checks share no code with the daemons.
  * @module
  */
 import type * as journals from "../platform/journal.js";
@@ -11,7 +11,7 @@
 import * as site from "./site.js";
 import * as teams from "./teams.js";
 
-/** Kinds of requests, and what each of them promises. */
+/** Kinds of requests: streams and plain calls; those named `_once` may run at most once. */
 export type Kind = "stream" | "stream_once" | "call" | "call_once";
 
 /** One request as its caller saw it. */
@@ -22,47 +22,49 @@
   readonly path: string;
   /** Adapter, or empty for a call to a plain service. */
   readonly adapter: string;
-  /** Key that it carried. */
+  /** API key that it carried. */
   readonly key: string;
   readonly body: string;
+  /** Milliseconds from its sending to its deadline. */
   readonly waitMs: number;
   readonly sentAt: number;
   readonly endedAt: number;
-  /** Newest version of the adapter that was declared some time before it was sent. */
+  /** Newest version of the adapter that was declared at least {@link VERSION_MS} before it was sent. */
   readonly version: number;
   readonly end:
     | {
         readonly kind: "answer";
         readonly status: number;
         readonly by: string;
-        /** Requests a second that its worker named as its limit. */
+        /** Limit that its worker announced, in requests a second. */
         readonly limitPerS: number | undefined;
-        /** It says that its worker leaves. */
+        /** Whether the answer announces that its worker leaves. */
         readonly leaving: boolean;
         readonly text: string;
       }
-    /** The connection ended before the answer did; `text` is what came. */
+    /** The connection ended before the answer was complete; `text` is what had arrived. */
     | { readonly kind: "broken"; readonly text: string; readonly why: string }
-    /** The caller went away by itself. */
+    /** The caller disconnected by its own choice. */
     | { readonly kind: "left" };
 }
 
-/** A change of what may be, as the operator or a worker declared it. */
+/** A change of a route by the operator, or a worker's announcement that it leaves. */
 export type Change =
   | { readonly kind: "route_added" | "route_removed"; readonly path: string; readonly at: number }
   | { readonly kind: "leaving"; readonly instance: string; readonly at: number };
 
+/** The record of a run. */
 export interface History {
   readonly seen: Seen[];
   readonly kept: journals.Journal;
   readonly disturbances: disturbances.Disturbance[];
   readonly changes: Change[];
   readonly teams: teams.Teams;
-  /** What the soak itself found wrong: a daemon that ended by itself, for one. */
+  /** Violations that the soak itself noticed, such as a daemon that ended by itself. */
   readonly faults: string[];
 }
 
-/** Workers that one request may run on, by its kind. */
+/** Number of workers that one request may run on, by its kind. */
 export const ATTEMPTS: Readonly<Record<Kind, number>> = {
   stream: 2,
   stream_once: 1,
@@ -70,55 +72,59 @@
   call_once: 1,
 };
 
-/** Milliseconds after which a declared version must be in force, by the pages. */
+/** Milliseconds within which a declared version must be in force, as documented. */
 export const VERSION_MS = 5000;
-/** Paths that every configuration allows. */
+/** Paths of the routes that every configuration has. */
 const ALWAYS = new Set(["/s/", "/o/", "/c/", "/n/"]);
-/** Milliseconds within which a declared change is in force on hosts in touch, by the pages. */
+/** Milliseconds within which a declared change must be in force on hosts that can reach the store, as documented. */
 const IN_FORCE_MS = 2000;
-/** Milliseconds by which an answer may be late against the caller's time, on a busy machine. */
+/** Milliseconds by which an answer may miss the caller's deadline, to allow for a busy machine. */
 const LATE_MS = 700;
-/** Milliseconds before the caller's time at which an answer may be given up. */
+/** Milliseconds before the caller's deadline from which an answer may be given up. */
 const EARLY_MS = 60;
-/** Milliseconds after a caller left within which its worker must know. */
+/** Milliseconds after a caller's disconnect within which its worker must stop. */
 const LEFT_MS = 900;
-/** Workers that end under a request before all hosts must know, and sends beyond them that are borne, by the pages. */
+/** Worker crashes after which all hosts must know that a request is fatal, as documented. */
 const PROOFS = 3;
+/** Further sends of such a request that are tolerated, as documented. */
 const BORNE = 3;
+/** Milliseconds after the last of those crashes until all hosts must know of it. */
 const CONTACT_MS = 3000;
-/** Planned work, which may cut nothing off. */
+/** Disturbances that are planned work and so may not interrupt a request. */
 const PLANNED = /asked to stop|settings changed/;
+/** Statuses that promise that the request did not run. */
 const REFUSALS = new Set([408, 421, 429, 503]);
 
-/** Whether an entry daemon was out of touch with what is declared in the store. */
+/** Whether an entry daemon may have been unable to read the store or to run at some time in the interval. */
 function outOfTouch(h: History, entry: string, from: number, to: number): boolean {
   const parts = new Set(["store", entry, storeLink(entry)]);
   return disturbances.any(h.disturbances, from, to, (d) => parts.has(d.on));
 }
 
-/** Name of the link between a daemon and the store. */
+/** Name under which disturbances of the link between a daemon and the store are recorded. */
 export function storeLink(daemon: string): string {
   return `${daemon} to the store`;
 }
 
-/** A request's whole answer from the version that answered; undefined when the text is none. */
+/** Whether the text is the complete answer to the request. */
 function isWhole(s: Seen, text: string): boolean {
   if (s.adapter === "") return text === workers.answerOf(s.id, s.body);
   const version = Number(/@(\d+) /.exec(text)?.[1]);
   const events = Array.from({ length: workers.EVENTS }, (_, i) => i + 1);
   const pattern = events.map((n) => workers.event(s.id, s.adapter, version, n)).join("");
-  // A resumed stream may go on at a newer version of the adapter.
+  // A resumed stream may continue with a newer version of the adapter.
   const plain = (t: string): string => t.replaceAll(/@\d+ /g, "@ ");
   return plain(text) === plain(pattern);
 }
 
-/** Whether the text is the beginning of the request's own answer. */
+/** Whether the text is the beginning of the answer to this request. */
 function isBeginning(s: Seen, text: string): boolean {
   if (s.adapter === "") return workers.answerOf(s.id, s.body).startsWith(text);
   const events = text.split("\n\n").slice(0, -1);
   return events.every((e, i) => e.startsWith(`id: ${i + 1}\ndata: ${s.id} ${s.adapter}@`));
 }
 
+/** Returns what is wrong with a request, or undefined. The function's name is the rule's name in the output. */
 type Check = (s: Seen, runs: readonly journals.Run[], h: History) => string | undefined;
 
 const CHECKS: readonly Check[] = [
@@ -158,9 +164,9 @@
   },
   function broken(s, runs, h) {
     if (s.end.kind !== "broken") return undefined;
-    // A request may cross the close of an idle connection, if it is not passed on.
+    // A request may meet the close of an idle connection; this is allowed if it was not passed on.
     if (runs.length === 0 && s.end.text === "") return undefined;
-    // At its deadline a stream is broken off, since it must not look whole.
+    // A stream is broken off at its deadline, since it must not look complete.
     if (s.endedAt - s.sentAt >= s.waitMs - EARLY_MS) return undefined;
     const struck = (d: disturbances.Disturbance): boolean =>
       (d.on === s.entry && !PLANNED.test(d.kind)) || runs.some((r) => r.instance === d.on);
@@ -197,7 +203,7 @@
   function gone(s, runs, h) {
     if (s.end.kind !== "left") return undefined;
     const on = runs.find((r) => (r.endedAt ?? Infinity) > s.endedAt + LEFT_MS);
-    // A link that is cut one way hands what it holds to whichever worker is at its place when it ends.
+    // A link that is cut in one direction delivers the bytes it held when the cut ends, to the worker then at that place.
     const parts = new Set([s.entry, on?.instance, on && disturbances.placeOf(on.instance)]);
     if (
       !on ||
@@ -208,7 +214,7 @@
   },
 ];
 
-/** Requests that ended their workers and were sent on and on. */
+/** One line for each request that crashed its workers and was still sent too often once this was known. */
 function fatal(h: History, runs: ReadonlyMap<string, readonly journals.Run[]>): readonly string[] {
   return [...new Set(h.kept.crashes.map((c) => c.body))].flatMap((body) => {
     const ends = h.kept.crashes.filter((c) => c.body === body);
@@ -224,7 +230,7 @@
   });
 }
 
-/** Every broken promise, a line each; none when all held. */
+/** One line for each broken promise; empty when all held. */
 export function violations(h: History): readonly string[] {
   const runs = new Map<string, journals.Run[]>();
   for (const r of h.kept.runs) runs.set(r.id, [...(runs.get(r.id) ?? []), r]);
@@ -258,20 +264,20 @@
   return s.kind === "stream" || s.kind === "stream_once" ? site.ENGINES : site.PLAIN;
 }
 
-/** How a request ended, in a word. */
+/** How a request ended: the status of its answer, or `broken` or `left`. */
 export function ending(s: Seen): string {
   return s.end.kind === "answer" ? String(s.end.status) : s.end.kind;
 }
 
-/** Whether a request is to be served: its route and its key are in force, and its team within its cap. */
+/** Whether a request should be served: its route and API key are in force, and its team is within its cap. */
 function isOwed(h: History, s: Seen): boolean {
   const end = ending(s);
-  // A 404 that is wrong is found by itself.
+  // A wrong 404 is reported by the `route` check.
   if (end === "429" || (end === "404" && !ALWAYS.has(s.path))) return false;
   return h.teams.keys.some((k) => k.key === s.key && k.until > s.sentAt);
 }
 
-/** Part of the requests sent after `from` that were served. */
+/** Share of the requests sent after `from` that were served, of those that should be. */
 export function served(h: History, from: number): number {
   const late = h.seen.filter(
     (s) => s.sentAt > from && s.end.kind !== "left" && s.path !== "/x/" && isOwed(h, s),
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak -- --seed N --minutes M`: real daemons under random troubles, with every promise of
- * the pages checked from what callers and workers saw. Exit 1 when one was broken.
+ * `npm run soak -- --seed N --minutes M`: runs real daemons under random faults and checks every documented promise
+ * against what callers and workers observed. Exits with status 1 if a promise was broken.
  * @module
  */
 import * as fs from "node:fs";
@@ -19,12 +19,12 @@
     npm run soak -- [--seed 1] [--seeds 1] [--minutes 0.4]
 
   Options
-    --seed     first seed; the same one draws the same troubles
-    --seeds    how many seeds to run, one after the other
-    --minutes  how long each runs
-    --entries, --engines, --plain, --callers  the size of the site
-    --regressions  run the seeds that ever failed instead
-    --main     the daemons' program
+    --seed     first seed; the same seed draws the same faults
+    --seeds    number of seeds to run, one after the other
+    --minutes  length of each run
+    --entries, --engines, --plain, --callers  number of each in the site
+    --regressions  run the seeds that have ever failed instead
+    --main     the program that starts a daemon
     --out      folder for the daemons' logs and the record of each run
 `,
   {
@@ -47,10 +47,10 @@
 
 const MS_PER_MINUTE = 60_000;
 
-/** Seeds of the draws of one run lie this far apart from those of another. */
+/** Number of random sequences reserved for each seed. */
 const DRAWS = 16;
 
-/** The `n`th row of draws from a seed. */
+/** The `n`th random sequence of a seed. */
 function drawing(seed: number, n: number): run.Draw {
   const rng = generators.xoroshiro128plus(seed * DRAWS + n);
   const part = (): number => uniform.uniformFloat64(rng);
@@ -59,12 +59,13 @@
     between: (min, max) => min + part() * (max - min),
     one: (list) => {
       const got = list[Math.floor(part() * list.length)];
-      if (got === undefined) throw new RangeError("there is nothing to draw from");
+      if (got === undefined) throw new RangeError("cannot draw from an empty list");
       return got;
     },
   };
 }
 
+/** Prints a table of how often each word occurs. */
 function tally(title: string, words: readonly string[]): void {
   const counts = new Map<string, number>();
   for (const w of words) counts.set(w, (counts.get(w) ?? 0) + 1);
--- a/bench/soak/notices.ts
+++ b/bench/soak/notices.ts
@@ -1,5 +1,6 @@
 /**
- * Whether workers that named a limit, left or asked for a pause got requests against the platform's rules, and what excuses it.
+ * Checks whether workers that announced a limit, left or asked for a pause got requests against the platform's rules that
+ * no disturbance excuses.
  * @module
  */
 import type * as journals from "../platform/journal.js";
@@ -9,7 +10,7 @@
 import * as disturbances from "./disturbances.js";
 import type * as history from "./history.js";
 
-/** Every broken rule, a line each. */
+/** One line for each broken rule. */
 export function violations(h: history.History): readonly string[] {
   const { arrivals } = h.kept;
   const sent = new Map(h.seen.map((s) => [s.id, { entry: s.entry, at: s.sentAt }]));
@@ -30,12 +31,12 @@
   ];
 }
 
-/** Whether an entry daemon's process went on from one moment to another: it was not ended, and did not stand still. */
+/** Whether an entry daemon's process ran without interruption between two times: it was not ended or frozen. */
 function servesOn(h: history.History, entry: string, from: number, to: number): boolean {
   return !h.disturbances.some((d) => d.on === entry && d.from < to && d.to > from);
 }
 
-/** Whether an arrival counts against its worker's limit: its host had passed the limit on, and nothing excuses it. */
+/** Whether an arrival counts against its worker's limit: its entry host had passed the limit on, and nothing excuses it. */
 function isBound(h: history.History, a: journals.Arrival): boolean {
   const entry = h.seen.find((s) => s.id === a.id)?.entry;
   if (entry === undefined) return false;
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -1,27 +1,27 @@
 /**
- * A loopback proxy on one address, through which connections are delayed, reset, silenced or cut in
- * one direction.
+ * A loopback TCP proxy that can delay connections, reset them, or hold their bytes in one direction or both.
  * @module
  */
 import * as timers from "node:timers/promises";
 import * as net from "node:net";
 
-/** What happens to the bytes of a link. */
+/** Fault of a link. */
 export type Trouble =
   | { readonly kind: "none" }
-  /** Each part is held back so long. */
+  /** Each chunk is delayed by `ms` milliseconds. */
   | { readonly kind: "delay"; readonly ms: number }
-  /** Nothing passes, new connections included. */
+  /** No bytes pass, on new connections neither. */
   | { readonly kind: "silence" }
-  /** Only what the server sends, or only what the client sends, is held. */
+  /** Only the client's bytes or only the server's bytes are held. */
   | { readonly kind: "one_way"; readonly hold: "requests" | "answers" };
 
+/** A client's connection to the proxy (`near`) and the proxy's connection to the target (`far`). */
 interface Pair {
   readonly near: net.Socket;
   readonly far: net.Socket;
 }
 
-/** Passes connections to one port on to another address. */
+/** Forwards connections from one port to another address. */
 export class Proxy {
   private trouble: Trouble = { kind: "none" };
   private readonly pairs = new Set<Pair>();
@@ -32,7 +32,7 @@
 
   constructor(private target: () => string) {}
 
-  /** Takes connections at `host`; on `port`, or a free one. It may be stopped and started again. */
+  /** Listens on `host` at `port`; port 0 picks a free one. A stopped proxy may be started again. */
   async start(host: string, port = 0): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once("error", reject);
@@ -41,7 +41,7 @@
     return `${host}:${(this.server.address() as net.AddressInfo).port}`;
   }
 
-  /** Refuses connections, as a host does on a port that nobody listens on, and ends those that stand. */
+  /** Closes the port, so that new connections are refused, and closes the existing connections. */
   stop(): void {
     this.server.close();
     for (const p of this.pairs) {
@@ -50,12 +50,13 @@
     }
   }
 
+  /** Sets the fault of the link, for existing and new connections. */
   set(trouble: Trouble): void {
     this.trouble = trouble;
     for (const go of this.resumed) go();
   }
 
-  /** Resets a part of the connections. */
+  /** Resets a random share of the connections. */
   reset(part: number, random: () => number): void {
     for (const p of this.pairs) {
       if (random() >= part) continue;
@@ -93,7 +94,7 @@
     }
   }
 
-  /** Waits until bytes of one direction may pass; false once the connection is over. */
+  /** Waits until bytes of one direction may pass. Returns false if the connection closes first. */
   private async mayPass(which: "requests" | "answers", socket: net.Socket): Promise<boolean> {
     if (this.trouble.kind === "delay") await timers.setTimeout(this.trouble.ms);
     while (this.held(which) && !socket.destroyed) {
@@ -110,7 +111,7 @@
     return !socket.destroyed;
   }
 
-  /** Passes one direction on, with its end or its reset. */
+  /** Forwards one direction, including its end or its reset. */
   private async pump(
     from: net.Socket,
     to: net.Socket,
@@ -123,7 +124,7 @@
       }
       if (await this.mayPass(which, to)) to.end();
     } catch {
-      // A reset on one side is a reset on the other; that is the trouble this proxy is for.
+      // A reset on one side is passed on as a reset on the other.
       to.resetAndDestroy();
     }
   }
--- a/bench/soak/regressions.ts
+++ b/bench/soak/regressions.ts
@@ -1,15 +1,17 @@
 /**
- * Seeds of the soak that ever failed, each with its cause. CI and every session run them again.
+ * Seeds of the soak that have ever failed, each with its cause. `npm run soak -- --regressions` and CI run them again.
  * @module
  */
 
+/** A seed that has failed. */
 export interface Regression {
   readonly seed: number;
   readonly minutes: number;
-  /** What was broken, and where the cause was. */
+  /** Which promise was broken, why, and where the fault was fixed. */
   readonly cause: string;
 }
 
+/** All such seeds. */
 export const REGRESSIONS: readonly Regression[] = [
   {
     seed: 102,
--- a/bench/soak/retries.ts
+++ b/bench/soak/retries.ts
@@ -1,5 +1,6 @@
 /**
- * Whether all entry daemons together kept to the retry budget, from what callers sent and what reached workers.
+ * Checks whether all entry daemons together kept to the retry budget, by comparing the requests that callers sent with
+ * those that reached workers.
  * @module
  */
 import type * as journals from "../platform/journal.js";
@@ -13,13 +14,16 @@
   slack: daemons.RETRIES.slack,
 };
 
-/** A request for a service, and the monotonic ms at which its caller sent it. */
+/** A request to a service, and the monotonic time in ms at which its caller sent it. */
 export interface Sent {
   readonly service: string;
   readonly at: number;
 }
 
-/** Every service that got more arrivals beyond the first of each request than allowed in some window, a line each. */
+/**
+ * One line for each service that got too many retries in some window. Every arrival of a request after its first counts as a
+ * retry.
+ */
 export function beyondBudget(
   sent: readonly Sent[],
   arrivals: readonly journals.Arrival[],
@@ -36,7 +40,7 @@
   });
 }
 
-/** When requests reached a worker again that had reached one before. */
+/** Times at which a request reached a worker after it had reached one before. */
 function beyondFirst(arrivals: readonly journals.Arrival[]): readonly number[] {
   const known = new Set<string>();
   return arrivals.flatMap((a) => {
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of the soak: a site, callers, troubles in series and overlapping, and a calm end.
+ * Runs one seed of the soak: a site and its callers under overlapping faults, and a calm period at the end.
  * @module
  */
 import * as timers from "node:timers/promises";
@@ -11,67 +11,70 @@
 
 export type Draw = faults.Draw;
 
+/** Settings of one run. */
 export interface Plan {
   readonly size: site.Size;
   readonly callers: number;
   readonly ms: number;
-  /** Draws of their own for callers, troubles and the operator. */
+  /** The `n`th random sequence of the seed: callers, faults and the operator each use their own. */
   readonly draw: (n: number) => Draw;
-  /** The daemons' program. */
+  /** Path of the program that starts a daemon. */
   readonly main: string;
-  /** Where settings and logs go. */
+  /** Folder for the daemons' settings and logs. */
   readonly folder: string;
 }
 
-/** Milliseconds from one trouble to the next. */
+/** Range of the milliseconds from one fault to the next. */
 const PAUSE_MS: readonly [number, number] = [100, 1600];
-/** Part of the kinds of trouble that one run has. */
+/** Share of the kinds of fault that one run uses. */
 const KINDS = 0.35;
-/** Troubles at the same time, at most. */
+/** Most faults that are active at the same time. */
 const TOGETHER = 4;
-/** Milliseconds from one change by the operator to the next. */
+/** Range of the milliseconds from one change by the operator to the next. */
 const OPERATE_MS: readonly [number, number] = [700, 3000];
-/** Milliseconds at the end without trouble, and the part of them in which all must be well again. */
+/** Milliseconds at the end of a run without faults. */
 const CALM_MS = 9000;
+/** The last milliseconds of the calm period, in which the site must have recovered. */
 const WELL_MS = 4000;
-/** Part of the requests that must be served once all is well again. */
+/** Least share of the requests that must be served once the site has recovered. */
 const SERVED = 0.9;
 /**
- * Part of the runs in which requests end their workers, the pause before each, and the row of draws for them: one of its own,
- * so that the troubles of a seed stay as they were.
+ * Share of the runs in which requests crash their workers, range of the milliseconds before each such request, and number of
+ * the random sequence for them. It has its own sequence so that a seed's other faults stay the same.
  */
 const FATAL = 0.5;
 const FATAL_PAUSE_MS: readonly [number, number] = [500, 4000];
 const FATAL_DRAWS = 3;
-/** Part of the runs in which services shed load, the pause between, and the row of draws for it. */
+/** The same for services that shed load. */
 const SHED = 0.4;
 const SHED_PAUSE_MS: readonly [number, number] = [500, 4000];
 const SHED_DRAWS = 6;
-/** Part of the runs in which workers name limits, how many at once, the pause between, and the row of draws for them. */
+/** The same for workers that announce limits, with the number of loops that do so at once. */
 const LIMIT = 0.6;
 const LIMITED = 2;
 const LIMIT_PAUSE_MS: readonly [number, number] = [200, 2500];
 const LIMIT_DRAWS = 7;
-/** Part of the runs in which workers ask for pauses, the pause between, and the row of draws for them. */
+/** The same for workers that ask for pauses. */
 const PAUSE = 0.6;
 const PAUSE_PAUSE_MS: readonly [number, number] = [300, 3000];
 const PAUSE_DRAWS = 8;
-/** Part of the runs in which workers leave while the store is out, the pause between, and the row of draws for it. */
+/** The same for workers that leave while the store is unavailable. */
 const UNHEARD = 0.6;
 const UNHEARD_PAUSE_MS: readonly [number, number] = [500, 4000];
 const UNHEARD_DRAWS = 9;
-/** Rows of draws for the keys that requests carry, and for what the operator does with keys and caps. */
+/** Numbers of the random sequences for the API keys of requests, and for the operator's changes of keys and caps. */
 const KEY_DRAWS = 4;
 const TEAM_DRAWS = 5;
-/** Milliseconds from one change of keys or caps to the next, and part of them that change a cap. */
+/** Range of the milliseconds from one change of keys or caps to the next, and share of the changes that are to a cap. */
 const ROTATE_MS: readonly [number, number] = [1500, 5000];
 const CAP_PART = 0.35;
-/** First draws of a row that hardly differ from one seed to the next. */
+/** Draws to skip at the start of a sequence, which hardly differ from one seed to the next. */
 const ALIKE = 2;
-/** Part of the callers that go away early. */
+/** Share of the requests whose callers disconnect early, in general and for the slow adapter. */
 const LEAVING = 0.05;
 const LEAVING_SLOW = 0.4;
 
+/** Runs the soak once and returns the record of the run. */
 export async function run(plan: Plan): Promise<history.History> {
   const wrong: string[] = [];
   const given = teams.begin(performance.now());
@@ -160,16 +163,16 @@
   call_once: "/n/",
 };
 
-/** An adapter; a few are asked for most of the time. */
+/** Draws an adapter; a few of them get most of the requests. */
 function popular(draw: Draw): string {
   const n = Math.floor(draw.part() ** 3 * faults.ADAPTERS.length);
   return faults.ADAPTERS[n] ?? "a1";
 }
 
-/** Troubles come and go until `until`; resolves once the last is mended. */
+/** Starts faults until `until`, and resolves once the last one has ended. */
 async function trouble(d: faults.Deps, until: number): Promise<void> {
   const on = new Map<string, Promise<void>>();
-  // Each run has some kinds alone: where all come, each excuses what another would show.
+  // A run uses only some kinds of fault: with all of them, each would excuse what another would reveal.
   const drawn = faults.FAULTS.filter(() => d.draw.part() < KINDS);
   const kinds = drawn.length > 0 ? drawn : faults.FAULTS;
   while (performance.now() < until) {
@@ -189,7 +192,7 @@
   await Promise.all(on.values());
 }
 
-/** Begins a trouble; resolves once it is mended. Undefined where there is nothing to strike. */
+/** Starts a fault and records it; resolves once it has ended. Undefined when it has nothing to affect. */
 function strike(d: faults.Deps, fault: faults.Fault): Promise<void> | undefined {
   const struck = fault.begin(d);
   if (!struck) return undefined;
@@ -203,13 +206,13 @@
   })();
 }
 
-/** Whether a run is one of a part of all runs. */
+/** Draws whether this run belongs to the given share of all runs. */
 function isOneOf(d: faults.Deps, part: number): boolean {
   for (let i = 0; i < ALIKE; i++) d.draw.part();
   return d.draw.part() < part;
 }
 
-/** In some runs, services shed load while entry daemons go, again and again until `until`. */
+/** In some runs, lets services shed load while entry daemons restart, repeatedly until `until`. */
 async function shed(d: faults.Deps, until: number): Promise<void> {
   if (!isOneOf(d, SHED)) return;
   while (performance.now() < until) {
@@ -218,7 +221,7 @@
   }
 }
 
-/** In some runs, requests that end their workers come one after the other until `until`. */
+/** In some runs, sends requests that crash their workers, one after the other until `until`. */
 async function crash(d: faults.Deps, until: number): Promise<void> {
   if (!isOneOf(d, FATAL)) return;
   while (performance.now() < until) {
@@ -227,7 +230,7 @@
   }
 }
 
-/** In some runs, workers name limits, one after the other and some at once, until `until`. */
+/** In some runs, lets workers announce limits until `until`, in several loops at once. */
 async function limit(d: faults.Deps, until: number): Promise<void> {
   if (!isOneOf(d, LIMIT)) return;
   const one = async (): Promise<void> => {
@@ -239,7 +242,7 @@
   await Promise.all(Array.from({ length: LIMITED }, one));
 }
 
-/** In some runs, workers shed requests and ask for pauses, again and again until `until`. */
+/** In some runs, lets workers shed requests and ask for pauses, repeatedly until `until`. */
 async function pause(d: faults.Deps, until: number): Promise<void> {
   if (!isOneOf(d, PAUSE)) return;
   while (performance.now() < until) {
@@ -248,7 +251,7 @@
   }
 }
 
-/** In some runs, workers leave while the store is out, again and again until `until`. */
+/** In some runs, lets workers leave while the store is unavailable, repeatedly until `until`. */
 async function leave(d: faults.Deps, until: number): Promise<void> {
   if (!isOneOf(d, UNHEARD)) return;
   while (performance.now() < until) {
@@ -257,7 +260,7 @@
   }
 }
 
-/** The operator takes keys away, gives others, and changes a cap, until `until`. */
+/** Makes the operator's changes of API keys and of a cap, until `until`. */
 async function rotate(s: site.Site, given: teams.Teams, draw: Draw, until: number): Promise<void> {
   while (performance.now() < until) {
     await timers.setTimeout(draw.between(...ROTATE_MS));
@@ -268,6 +271,7 @@
   }
 }
 
+/** Makes the operator's other changes until `until`, and records the declared versions. */
 async function operate(
   d: faults.Deps,
   until: number,
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -1,6 +1,6 @@
 /**
  * A site on loopback: real entry and endpoint daemons as processes, stand-ins for the store and the
- * workers, a proxy on every link between them, and a balancer's view of the entry daemons.
+ * workers, a proxy on every link between them, and a load balancer's view of the entry daemons.
  * @module
  */
 import * as undici from "undici";
@@ -17,14 +17,14 @@
 export const PLAIN = "guide";
 /** Milliseconds between two events of a stream. */
 const EVENT_MS = 20;
-/** An adapter whose streams last long, so that there is time for a caller to leave. */
+/** An adapter whose streams take long, so that callers have time to disconnect. */
 export const SLOW_ADAPTER = "a14";
 const SLOW_EVENT_MS = 300;
-/** Slots of an engine. */
+/** Number of adapter slots of an engine. */
 const SLOTS = 3;
-/** Milliseconds after which a worker is back that a request has ended. */
+/** Milliseconds after which a worker that a request has crashed starts again. */
 export const BACK_MS = 1500;
-/** Milliseconds between the balancer's questions, and misses after which it goes elsewhere. */
+/** Milliseconds between the load balancer's readiness checks, and failed checks in a row after which it drops a daemon. */
 const ASK_MS = 1000;
 const MISSES = 2;
 
@@ -41,18 +41,19 @@
   readonly plain: number;
 }
 
-/** One worker with what stands before and beside it. */
+/** The place of a worker, whose worker changes with each start, with the proxies before it. */
 export interface Place<W extends workers.Engine | workers.Plain = workers.Engine | workers.Plain> {
   readonly name: string;
   worker: W;
-  /** Before the worker itself. */
+  /** Proxy before the worker. */
   readonly proxy: proxies.Proxy;
-  /** Before the endpoint daemon; plain workers have none. */
+  /** Proxy before the endpoint daemon; plain workers have none. */
   readonly seats: proxies.Proxy | undefined;
-  /** Where entry daemons reach it. */
+  /** Address at which entry daemons reach the worker. */
   readonly address: string;
 }
 
+/** All parts of a run but the callers. */
 export class Site {
   readonly store = new stores.Store();
   readonly kept = journals.journal();
@@ -60,7 +61,7 @@
   readonly places: Place[] = [];
   readonly entries: daemons.Daemon[] = [];
   readonly endpoints: daemons.Daemon[] = [];
-  /** The proxy before the store for each daemon, by its name. */
+  /** Each daemon's proxy before the store, by the daemon's name. */
   readonly storeLinks = new Map<string, proxies.Proxy>();
   private extra: readonly documents.Route[] = [];
   private version = 0;
@@ -70,7 +71,7 @@
   private readonly leaving = new Set<string>();
   private hosts = 0;
   private stopped = false;
-  /** Called when a request has ended a worker. */
+  /** Called when a request has crashed a worker. */
   ended: (instance: string) => void = () => undefined;
 
   constructor(
@@ -78,11 +79,11 @@
     private readonly main: string,
     private readonly folder: string,
     private readonly fault: (what: string) => void,
-    /** Whose keys requests must carry; left out where they need none. */
+    /** Teams whose API keys requests must carry; left out if requests need none. */
     private readonly teams?: teams.Teams,
   ) {}
 
-  /** An address of its own for one host. The process's id keeps runs apart. */
+  /** A new loopback address for one host. It contains the process id, so that concurrent runs do not collide. */
   private ip(): string {
     this.hosts++;
     const n = process.pid % 50_000;
@@ -117,7 +118,7 @@
     this.store.stop();
   }
 
-  /** Puts a configuration in force with the usual routes and `extra` ones. */
+  /** Writes a new configuration with the static routes and the `extra` ones. */
   configure(extra: readonly documents.Route[] = this.extra): void {
     this.extra = extra;
     this.version += 1 + (this.version % 3);
@@ -133,7 +134,7 @@
     );
   }
 
-  /** Adds or takes away a route for calls; whether it is there now. */
+  /** Adds a route for calls, or removes it if it exists. Returns whether it exists now. */
   toggle(prefix: string): boolean {
     const there = this.extra.some((r) => r.prefix === prefix);
     const route: documents.Route = {
@@ -147,7 +148,7 @@
     return !there;
   }
 
-  /** Declares a new version of an adapter. */
+  /** Declares a new version of an adapter, and returns it. */
   declare(adapter: string): number {
     const version = (this.newest.get(adapter) ?? 1) + 1;
     this.newest.set(adapter, version);
@@ -156,14 +157,14 @@
     return version;
   }
 
-  /** Writes a worker's entry. */
+  /** Writes a worker's entry to the store. */
   register(p: Place): void {
     const { service, instance, name, born } = p.worker;
     const state = this.leaving.has(instance) ? "draining" : "ready";
     this.store.put(`servers/${name}`, documents.entry(service, p.address, state, born));
   }
 
-  /** A worker says that it leaves, in its entry and in its answers. */
+  /** Makes a worker announce that it leaves, in its entry and in its answers. */
   leave(p: Place): void {
     this.leaving.add(p.worker.instance);
     p.worker.leaving = true;
@@ -171,8 +172,8 @@
   }
 
   /**
-   * Starts a worker anew at the same address, unless that was done to `instance` before; it holds
-   * nothing. One that tells its start keeps its name, another has a new one.
+   * Replaces the worker `instance` by a new one at the same address, which holds no adapters. Does nothing if it was replaced
+   * before. A worker that reports its start time keeps its name; any other gets a new one.
    */
   async restart(p: Place, instance: string): Promise<void> {
     if (p.worker.instance !== instance) return;
@@ -188,13 +189,13 @@
     this.register(p);
   }
 
-  /** Ends a worker at once; its port refuses connections until it starts again. */
+  /** Stops a worker at once; its port refuses connections until it starts again. */
   end(p: Place): void {
     p.worker.stop();
     p.proxy.stop();
   }
 
-  /** A request ended a worker; it is back after a while. */
+  /** Handles a worker's crash by a request: restarts it after {@link BACK_MS}. */
   private crashed(worker: workers.Engine | workers.Plain): void {
     const p = this.places.find((x) => x.worker === worker);
     if (!p || this.stopped) return;
@@ -277,7 +278,7 @@
     this.entries.push(new daemons.Daemon(plan, this.main, this.folder, this.fault));
   }
 
-  /** The entry daemons that the balancer gives out. */
+  /** The entry daemons that the load balancer uses: the ready ones, or all if fewer than half are ready. */
   inRotation(): readonly daemons.Daemon[] {
     const ready = this.entries.filter((d) => (this.misses.get(d.plan.name) ?? 0) < MISSES);
     return ready.length * 2 < this.entries.length ? this.entries : ready;
@@ -293,14 +294,14 @@
     );
   }
 
-  /** Resolves once all entry daemons say that they are ready. */
+  /** Resolves once all entry daemons are ready; throws after 10 s. */
   async untilReady(): Promise<void> {
     for (let i = 0; i < 200; i++) {
       const ready = await Promise.all(this.entries.map((d) => isReady(d)));
       if (ready.every(Boolean)) return;
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
-    throw new Error("the daemons are not ready after 10 s");
+    throw new Error("entry daemons not ready after 10 s");
   }
 }
 
@@ -310,12 +311,12 @@
     await res.body.dump();
     return res.statusCode === 200;
   } catch {
-    // No answer is a miss, as for the platform's balancer.
+    // No answer counts as not ready, as for the platform's load balancer.
     return false;
   }
 }
 
-/** Whether the workers at a place tell their start: every other one of `KIND-N`. */
+/** Whether the workers at a place `KIND-N` report their start time: those with an even `N` do. */
 function tellsStart(place: string): boolean {
   return Number(place.split("-").at(-1)) % 2 === 0;
 }
--- a/bench/soak/teams.ts
+++ b/bench/soak/teams.ts
@@ -1,11 +1,11 @@
 /**
- * The teams of a soak: their keys, which come and go, and the cap of one of them; and what workers must then have seen.
+ * The teams of a run, with API keys that are replaced and a rate cap of one team, and the checks that both were enforced.
  * @module
  */
 import type * as journals from "../platform/journal.js";
 import type * as history from "./history.js";
 
-/** A key, and when the operator put it in force and took it away. */
+/** An API key, and when the operator added and revoked it (`Infinity` while it is valid). */
 export interface Key {
   readonly key: string;
   readonly team: string;
@@ -13,19 +13,19 @@
   until: number;
 }
 
-/** A cap of {@link CAPPED} from a moment on. */
+/** A cap on the tokens a second of {@link CAPPED}, from time `at` on. */
 interface Cap {
   readonly perS: number;
   readonly at: number;
 }
 
-/** What the operator did with teams. */
+/** All keys and caps that the operator has set. */
 export interface Teams {
   readonly keys: Key[];
   readonly caps: Cap[];
 }
 
-/** Bounds that the daemons are told, as the platform names them. */
+/** Bounds in the daemons' settings, under the platform's names. */
 export const BOUNDS = {
   strictRevoke: true,
   revokeMs: 5000,
@@ -34,21 +34,22 @@
 const OVERAGE = 0.1;
 const WINDOW_MS = 8000;
 const MS_PER_S = 1000;
-/** Milliseconds within which a change is in force on hosts in touch. */
+/** Milliseconds within which a change is in force on hosts that can reach the store. */
 const IN_FORCE_MS = 2000;
 
 const FREE = "news";
 const CAPPED = "sport";
-/** Tokens a second of the cap while it is high and while it is low; its burst is as large. */
+/** The cap while it is high and while it is low, in tokens a second; its burst is as many tokens. */
 const HIGH = 6000;
 const LOW = 600;
-/** Tokens of a request on an adapter, and of a call. */
+/** Tokens of a request to an adapter (as its usage header and in sum), and of a call. */
 export const STREAM_USAGE = "200,40";
 const STREAM_TOKENS = 240;
 const CALL_TOKENS = 20;
-/** A key that no configuration ever held. */
+/** A key that no configuration ever contained. */
 const UNKNOWN = "k-unknown";
 
+/** The teams at the start of a run: two keys each, and the high cap. */
 export function begin(now: number): Teams {
   const key = (team: string, n: number): Key => ({
     key: `k-${team}-${n}`,
@@ -62,7 +63,7 @@
   };
 }
 
-/** The teams as a configuration lists them. */
+/** The teams as listed in a configuration document. */
 export function listed(t: Teams): readonly object[] {
   const perS = t.caps.at(-1)?.perS ?? HIGH;
   const cap = { unit: "token_rate", plainTokens: CALL_TOKENS, ratePerS: perS, burst: perS };
@@ -73,7 +74,7 @@
   }));
 }
 
-/** Takes a key away and gives its team another. */
+/** Revokes a key and gives its team a new one. */
 export function rotate(t: Teams, draw: <T>(list: readonly T[]) => T, now: number): void {
   const old = draw(t.keys.filter((k) => k.until === Infinity));
   old.until = now;
@@ -81,17 +82,17 @@
   t.keys.push({ key, team: old.team, from: now, until: Infinity });
 }
 
-/** Lowers the cap, or raises it again. */
+/** Switches the cap from high to low, or back. */
 export function toggleCap(t: Teams, now: number): void {
   const perS = t.caps.at(-1)?.perS === HIGH ? LOW : HIGH;
   t.caps.push({ perS, at: now });
 }
 
-/** Parts of the requests with a key in force; of the rest, most have one that was taken away. */
+/** Share of the requests with a valid key; share of the others with a revoked key, if there is one, not an unknown key. */
 const IN_FORCE = 0.88;
 const TAKEN_AWAY = 0.8;
 
-/** A key for a request, of a team or of none. */
+/** Draws the key for a request: valid, revoked or unknown. */
 export function keyFor(
   t: Teams,
   draw: { readonly part: () => number; readonly one: <T>(list: readonly T[]) => T },
@@ -103,7 +104,7 @@
   return UNKNOWN;
 }
 
-/** What is wrong with how a request was treated, by its key. */
+/** Describes how a request's treatment violates the rules for its key; undefined if it does not. */
 export function check(
   t: Teams,
   s: history.Seen,
@@ -124,7 +125,7 @@
   return undefined;
 }
 
-/** Windows in which the capped team ran more than its cap allows, a line each. */
+/** One line for each window in which the capped team ran more tokens than its cap allows. */
 export function beyondCap(
   t: Teams,
   seen: readonly history.Seen[],
@@ -149,7 +150,10 @@
   });
 }
 
-/** The highest cap that a window may go by: a lowered one binds a window after it is in force on all hosts in touch. */
+/**
+ * The highest cap that may apply in a window. A lowered cap binds a window that starts after the cap is in force on all hosts
+ * that can reach the store.
+ */
 function capBefore(
   t: Teams,
   from: number,
