--- a/bench/platform/http.ts
+++ b/bench/platform/http.ts
@@ -10,9 +10,9 @@
 
 /** Reads the whole body of a request. */
 export async function text(req: http.IncomingMessage): Promise<string> {
-  const parts: Buffer[] = [];
-  for await (const part of req as AsyncIterable<Buffer>) parts.push(part);
-  return Buffer.concat(parts).toString();
+  const chunks: Buffer[] = [];
+  for await (const part of req as AsyncIterable<Buffer>) chunks.push(part);
+  return Buffer.concat(chunks).toString();
 }
 
 /** Reads a JSON body; an empty body yields an empty object. */
--- a/bench/platform/limits.ts
+++ b/bench/platform/limits.ts
@@ -7,9 +7,9 @@
 /** Length in ms of the window over which the rule counts requests. */
 const WINDOW_MS = 4000;
 /** A window may hold the limit's requests times this factor. */
-const TIMES = 1.5;
+const LIMIT_FACTOR = 1.5;
 /** Requests that a window may hold on top of that. */
-const BESIDES = 5;
+const SLACK = 5;
 /** Milliseconds from the first announcement of a limit until windows are checked against it. */
 export const BINDS_MS = 3000;
 /** Milliseconds from the announcement until a host's requests count in a window. */
@@ -18,7 +18,7 @@
 
 /** Requests that the rule allows in any window under a limit of `perS` requests a second. */
 export function allowed(perS: number): number {
-  return TIMES * perS * (WINDOW_MS / MS_PER_S) + BESIDES;
+  return LIMIT_FACTOR * perS * (WINDOW_MS / MS_PER_S) + SLACK;
 }
 
 /** The largest number of `times` (ascending) in a window that ends at `from` or later, and the end of that window. */
@@ -46,12 +46,12 @@
   const workers = [...new Set(arrivals.map((a) => a.instance))];
   return workers.flatMap((instance) => {
     const all = arrivals.filter((a) => a.instance === instance);
-    return spans(all).flatMap((span) => beyondIn(instance, span, counts));
+    return splitByLimit(all).flatMap((span) => violationsIn(instance, span, counts));
   });
 }
 
 /** Splits the arrivals at one worker into the spans in which its announced limit did not change. */
-function spans(all: readonly journals.Arrival[]): readonly (readonly journals.Arrival[])[] {
+function splitByLimit(all: readonly journals.Arrival[]): readonly (readonly journals.Arrival[])[] {
   const out: journals.Arrival[][] = [];
   let limit: number | undefined;
   for (const a of all) {
@@ -64,7 +64,7 @@
   return out;
 }
 
-function beyondIn(
+function violationsIn(
   instance: string,
   span: readonly journals.Arrival[],
   counts: (a: journals.Arrival) => boolean,
--- a/bench/platform/notices.ts
+++ b/bench/platform/notices.ts
@@ -6,9 +6,9 @@
 import type * as journals from "./journal.js";
 
 /** Milliseconds from a worker's 503 that asks for a pause until requests from the entry host count as too many. */
-const TOLD_MS = 500;
+const PROPAGATION_MS = 500;
 /** Requests that may reach the worker from that entry host in the rest of the pause. */
-const BORNE = 2;
+const MAX_REQUESTS_IN_PAUSE = 2;
 
 /** The entry host that a request was sent to, and when. */
 export interface Sent {
@@ -63,7 +63,7 @@
   return arrivals.flatMap((asked) => {
     const entry = sent.get(asked.id)?.entry;
     if (asked.pauseMs === undefined || entry === undefined) return [];
-    const [from, to] = [asked.at + TOLD_MS, asked.at + asked.pauseMs];
+    const [from, to] = [asked.at + PROPAGATION_MS, asked.at + asked.pauseMs];
     if (!binds(entry, asked.instance, asked.at, to)) return [];
     const late = arrivals.filter(
       (a) =>
@@ -72,7 +72,7 @@
         a.at > from &&
         a.at < to,
     );
-    if (late.length <= BORNE) return [];
+    if (late.length <= MAX_REQUESTS_IN_PAUSE) return [];
     return [
       `pause: ${asked.instance} had asked ${entry} for ${asked.pauseMs} ms and got ${late.length} requests`,
     ];
--- a/bench/platform/retry-rule.ts
+++ b/bench/platform/retry-rule.ts
@@ -28,19 +28,19 @@
   b: Bounds,
 ): Window | undefined {
   let found: Window | undefined;
-  const over = (w: Window): number => w.retries - w.allowed;
+  const excess = (w: Window): number => w.retries - w.allowed;
   for (const from of new Set(retried)) {
     const starts = [from, from - b.windowMs / 2, from - b.windowMs];
-    const requests = Math.max(...starts.map((t) => within(asked, t, t + b.windowMs)));
-    const retries = within(retried, from, from + b.windowMs);
+    const requests = Math.max(...starts.map((t) => countBetween(asked, t, t + b.windowMs)));
+    const retries = countBetween(retried, from, from + b.windowMs);
     const window = { from, retries, allowed: b.ratio * requests + b.slack };
-    if (!found || over(window) > over(found)) found = window;
+    if (!found || excess(window) > excess(found)) found = window;
   }
   return found;
 }
 
 /** The number of `times` (ascending) from `from` to `to`, both included. */
-function within(times: readonly number[], from: number, to: number): number {
+function countBetween(times: readonly number[], from: number, to: number): number {
   return firstAfter(times, to) - firstAfter(times, from - 1e-9);
 }
 
--- a/bench/platform/store.ts
+++ b/bench/platform/store.ts
@@ -31,7 +31,7 @@
 }
 
 /** Milliseconds after which the connection of an unanswered call is closed. */
-const SILENT_MS = 5000;
+const SILENT_CLOSE_MS = 5000;
 
 /** The stand-in store. */
 export class Store {
@@ -39,9 +39,9 @@
   readonly faults: Faults = { mode: "well", delayMs: 0, loseWrites: 0 };
   private history: Event[] = [];
   /** Changes up to this revision are compacted away. */
-  private forgotten = 0;
+  private compactedRevision = 0;
   private revision = 0;
-  private waiting: (() => void)[] = [];
+  private waitingWatches: (() => void)[] = [];
   /** Number of calls accepted while silent. */
   unanswered = 0;
   private readonly listener = new servers.Listener((req, res) => this.answer(req, res));
@@ -68,29 +68,29 @@
     const created = this.items.get(key)?.created ?? revision;
     const item: Item = { key, value: text, revision, created, lease: 0 };
     this.items.set(key, item);
-    this.note({ revision, body: item });
+    this.appendEvent({ revision, body: item });
   }
 
   remove(key: string): void {
     if (!this.items.delete(key)) return;
     const revision = ++this.revision;
-    this.note({ revision, body: { key, revision, tombstone: true } });
+    this.appendEvent({ revision, body: { key, revision, tombstone: true } });
   }
 
   /** Drops the history of all changes so far, and wakes the waiting watches, which then answer 410. */
   compact(): void {
     this.history = [];
-    this.forgotten = this.revision;
-    this.wake();
+    this.compactedRevision = this.revision;
+    this.wakeWatches();
   }
 
-  private note(e: Event): void {
+  private appendEvent(e: Event): void {
     this.history.push(e);
-    this.wake();
+    this.wakeWatches();
   }
 
-  private wake(): void {
-    for (const wake of this.waiting.splice(0)) wake();
+  private wakeWatches(): void {
+    for (const wake of this.waitingWatches.splice(0)) wake();
   }
 
   private async answer(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
@@ -98,7 +98,7 @@
     if (delayMs > 0) await timers.setTimeout(delayMs);
     if (mode === "silent") {
       this.unanswered++;
-      await timers.setTimeout(SILENT_MS);
+      await timers.setTimeout(SILENT_CLOSE_MS);
       res.destroy();
       return;
     }
@@ -118,7 +118,7 @@
         servers.say(res, 200, { lease: 1, ttlMs: 1000 });
         return;
       case "/-/kv-txn":
-        this.change(await servers.json(req), res);
+        this.transact(await servers.json(req), res);
         return;
       default:
         servers.say(res, 404, {});
@@ -131,10 +131,10 @@
     servers.say(res, 200, { items, truncated: false, currentRev: this.revision });
   }
 
-  private change(body: servers.Body, res: http.ServerResponse): void {
+  private transact(body: servers.Body, res: http.ServerResponse): void {
     const expected = body.expected as readonly { key: string; revision: number }[];
-    const held = expected.every((e) => (this.items.get(e.key)?.revision ?? 0) === e.revision);
-    if (!held) {
+    const isMet = expected.every((e) => (this.items.get(e.key)?.revision ?? 0) === e.revision);
+    if (!isMet) {
       servers.say(res, 412, { items: [] });
       return;
     }
@@ -147,13 +147,13 @@
 
   private async watch(query: URLSearchParams, res: http.ServerResponse): Promise<void> {
     const after = Number(query.get("after"));
-    if (this.revision <= after && after >= this.forgotten) {
+    if (this.revision <= after && after >= this.compactedRevision) {
       await new Promise<void>((resolve) => {
-        this.waiting.push(resolve);
+        this.waitingWatches.push(resolve);
         setTimeout(resolve, Number(query.get("waitMs")));
       });
     }
-    if (after < this.forgotten) {
+    if (after < this.compactedRevision) {
       servers.say(res, 410, {});
       return;
     }
--- a/bench/platform/worker-base.ts
+++ b/bench/platform/worker-base.ts
@@ -28,16 +28,16 @@
   | "late";
 
 /** Share of its requests or orders that a faulty worker treats wrongly. */
-const BAD_PART = 0.4;
+const FAULTY_SHARE = 0.4;
 /** Share of its requests that a worker rejects while it sheds load, unless set otherwise. */
-const SHED_PART = 0.9;
+const DEFAULT_SHED_SHARE = 0.9;
 const MISDIRECTED = 421;
 const UNAVAILABLE = 503;
 const MS_PER_S = 1000;
 /** A request whose body contains this text crashes its worker. */
 export const FATAL = "ends its worker";
 /** Milliseconds from the start of such a request to the crash. */
-const FATAL_MS = 10;
+const CRASH_DELAY_MS = 10;
 
 /** A header's value as a string; empty when it is missing. */
 export const one = (v: string | readonly string[] | undefined): string => String(v ?? "");
@@ -57,14 +57,14 @@
   /** Pause in seconds that it asks for when it sheds a request; undefined for none. */
   pauseS: number | undefined;
   /** Share of its requests that it rejects while it sheds load. */
-  shedPart = SHED_PART;
+  shedPart = DEFAULT_SHED_SHARE;
   /** Instance id that it reports; a worker that restarts may keep the id that it had before. */
   name: string;
   /** Start time in Unix ms, which it reports; undefined when it does not report one. */
   born: number | undefined;
   /** Called after a request has crashed the worker. */
   ended: () => void = () => undefined;
-  private isOver = false;
+  private hasCrashed = false;
   protected readonly listener = new servers.Listener((req, res) => this.answer(req, res));
 
   constructor(
@@ -91,7 +91,7 @@
   protected abstract answer(req: http.IncomingMessage, res: http.ServerResponse): Promise<void>;
 
   protected bad(): boolean {
-    return Math.random() < BAD_PART;
+    return Math.random() < FAULTY_SHARE;
   }
 
   protected reject(res: http.ServerResponse, status: number, id: string): void {
@@ -175,9 +175,9 @@
   /** Crashes the worker if the body contains {@link CRASH_MARKER}. Returns whether it crashed. */
   protected async endsUnder(run: journals.Run, body: string): Promise<boolean> {
     if (!body.includes(FATAL)) return false;
-    await timers.setTimeout(FATAL_MS);
-    if (this.isOver) return true;
-    this.isOver = true;
+    await timers.setTimeout(CRASH_DELAY_MS);
+    if (this.hasCrashed) return true;
+    this.hasCrashed = true;
     this.kept.crashes.push({ id: run.id, body, instance: this.instance, at: performance.now() });
     this.stop();
     this.ended();
--- a/bench/platform/worker.ts
+++ b/bench/platform/worker.ts
@@ -14,7 +14,7 @@
 /** Factor by which a slow worker takes longer. */
 const SLOW_FACTOR = 10;
 /** Milliseconds until a late worker carries out an order that it left unanswered. */
-const LATE_MS = 2000;
+const LATE_ORDER_MS = 2000;
 /** Milliseconds that loading an adapter takes. */
 const LOAD_MS = 30;
 /** Number of events in a stream. */
@@ -26,7 +26,7 @@
 }
 
 /** An adapter that occupies a slot. */
-interface Held {
+interface LoadedAdapter {
   version: number;
   ready: boolean;
   runs: number;
@@ -36,7 +36,7 @@
 
 /** A model worker with a number of adapter slots, all empty at its start. */
 export class Engine extends base.Base {
-  readonly held = new Map<string, Held>();
+  readonly held = new Map<string, LoadedAdapter>();
   /** Milliseconds between two events of a stream. */
   eventMs = 5;
   /** Another interval for the streams of one adapter. */
@@ -65,7 +65,7 @@
         servers.say(res, 200, this.report());
         return;
       case "/-/order":
-        await this.take(req, res);
+        await this.receiveOrder(req, res);
         return;
       default:
         await this.run(await servers.text(req), req, res);
@@ -88,10 +88,10 @@
     };
   }
 
-  private async take(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
+  private async receiveOrder(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
     const body = await servers.json(req);
     if (this.mood === "late" && this.bad()) {
-      setTimeout(() => this.carryOut(body), LATE_MS);
+      setTimeout(() => this.carryOut(body), LATE_ORDER_MS);
       return;
     }
     if (req.headers["x-sumacfield-expect-instance"] !== this.name) {
@@ -110,7 +110,7 @@
     if (body.operation === "model_load") return this.load(adapter, Number(body.version ?? 0));
     const h = this.held.get(adapter);
     if (h) h.closing = true;
-    this.settle(adapter);
+    this.unloadIfIdle(adapter);
     return 200;
   }
 
@@ -129,7 +129,7 @@
   }
 
   /** Unloads an adapter that was ordered to unload, if nothing runs on it. */
-  private settle(adapter: string): void {
+  private unloadIfIdle(adapter: string): void {
     const h = this.held.get(adapter);
     if (h?.closing && h.runs === 0) this.held.delete(adapter);
   }
@@ -162,7 +162,7 @@
     h.runs++;
     res.once("close", () => {
       h.runs--;
-      this.settle(adapter);
+      this.unloadIfIdle(adapter);
     });
     if (await this.endsUnder(run, body)) return;
     await this.stream(run, req, res);
--- a/bench/soak/caller.ts
+++ b/bench/soak/caller.ts
@@ -37,16 +37,16 @@
 }
 
 /** Milliseconds until a caller that got no entry daemon asks for one again. */
-const LOOK_MS = 50;
+const ENTRY_RETRY_MS = 50;
 /** Milliseconds after a request's deadline at which its caller stops waiting for the answer. */
-const BORNE_MS = 4000;
+const GIVE_UP_MS = 4000;
 
 /** Sends one request on a new connection. */
 export async function once(w: World): Promise<void> {
   const to = w.entry();
   if (!to) return;
   const client = new undici.Client(`http://${to.address}`, { connect: { timeout: 1000 } });
-  await ask(w, client, to.name);
+  await sendRequest(w, client, to.name);
   await client.destroy();
 }
 
@@ -55,7 +55,7 @@
   while (!signal.aborted) {
     const to = w.entry();
     if (!to) {
-      await timers.setTimeout(LOOK_MS);
+      await timers.setTimeout(ENTRY_RETRY_MS);
       continue;
     }
     const client = new undici.Client(`http://${to.address}`, {
@@ -70,7 +70,7 @@
     });
     const over = AbortSignal.any([ended.signal, signal]);
     while (!over.aborted) {
-      if (!(await ask(w, client, to.name))) break;
+      if (!(await sendRequest(w, client, to.name))) break;
       await timers.setTimeout(w.pauseMs());
     }
     await client.destroy();
@@ -78,21 +78,21 @@
 }
 
 /** Sends one request. Returns whether its connection can be used again. */
-async function ask(w: World, client: undici.Client, entry: string): Promise<boolean> {
+async function sendRequest(w: World, client: undici.Client, entry: string): Promise<boolean> {
   const wish = w.wish();
   const id = w.nextId();
   const key = w.key();
   const { fatal } = wish;
   const body = fatal === undefined ? `body of ${id}` : `${fatal} ${bases.FATAL}`;
   const sentAt = performance.now();
-  const gone = new AbortController();
-  const leaveMs = wish.leaveMs ?? wish.waitMs + BORNE_MS;
+  const cancel = new AbortController();
+  const leaveMs = wish.leaveMs ?? wish.waitMs + GIVE_UP_MS;
   const timer = setTimeout(() => {
-    gone.abort();
+    cancel.abort();
   }, leaveMs);
   let text = "";
   let end: history.Seen["end"];
-  let passedOn = true;
+  let isConnected = true;
   try {
     const res = await client.request({
       method: "POST",
@@ -108,7 +108,7 @@
         }),
       },
       body,
-      signal: gone.signal,
+      signal: cancel.signal,
     });
     for await (const part of res.body as AsyncIterable<Buffer>) text += part.toString();
     const by = String(res.headers["x-sumacfield-server-signature"] ?? "");
@@ -118,20 +118,20 @@
     end = { kind: "answer", status: res.statusCode, by, limitPerS, leaving, text };
   } catch (err) {
     const why = err instanceof Error ? err.message : String(err);
-    passedOn = !(err instanceof undici.errors.ConnectTimeoutError) && !isRefusal(err);
-    const left = gone.signal.aborted && wish.leaveMs !== undefined;
+    isConnected = !(err instanceof undici.errors.ConnectTimeoutError) && !isConnectionRefused(err);
+    const left = cancel.signal.aborted && wish.leaveMs !== undefined;
     end = left ? { kind: "left" } : { kind: "broken", text, why };
   }
   clearTimeout(timer);
   const endedAt = performance.now();
   const { kind, path, adapter, waitMs, version } = wish;
   // A failed connect is left to the load balancer and does not count as a request.
-  if (passedOn) {
+  if (isConnected) {
     w.saw({ id, kind, key, entry, path, adapter, body, waitMs, sentAt, endedAt, version, end });
   }
   return end.kind === "answer";
 }
 
-function isRefusal(err: unknown): boolean {
+function isConnectionRefused(err: unknown): boolean {
   return err instanceof Error && "code" in err && err.code === "ECONNREFUSED";
 }
--- a/bench/soak/daemon.ts
+++ b/bench/soak/daemon.ts
@@ -49,9 +49,9 @@
   private readonly file: string;
   private readonly log: number;
   /** Whether it was told to end. */
-  private expected = false;
+  private isExpectedToEnd = false;
   /** Whether it is frozen; a frozen daemon cannot stop within its grace period. */
-  private frozen = false;
+  private isFrozen = false;
 
   constructor(
     readonly plan: Plan,
@@ -62,7 +62,7 @@
   ) {
     this.file = path.join(folder, `${plan.name}.yaml`);
     this.log = fs.openSync(path.join(folder, `${plan.name}.log`), "a");
-    this.write();
+    this.writeSettings();
   }
 
   get callers(): string {
@@ -78,7 +78,7 @@
   }
 
   /** Writes the settings file. */
-  private write(): void {
+  private writeSettings(): void {
     const { name, ip, seatPort, store, ports, engine, service } = this.plan;
     const listen = ports && { front: `${ip}:${ports[0]}`, ready: `${ip}:${ports[1]}` };
     const settings = {
@@ -98,7 +98,7 @@
   /** Starts it, unless it runs already, as when the end of another fault has started it. */
   start(): void {
     if (this.process) return;
-    this.expected = false;
+    this.isExpectedToEnd = false;
     const env = {
       ...process.env,
       SUMACFIELD_CONFIG: this.file,
@@ -111,11 +111,11 @@
     this.process = started;
     started.once("exit", (code, signal) => {
       if (this.process === started) this.process = undefined;
-      if (!this.expected) this.fault(`${this.plan.name} ended by itself: ${code ?? signal}`);
+      if (!this.isExpectedToEnd) this.fault(`${this.plan.name} ended by itself: ${code ?? signal}`);
     });
   }
 
-  private async gone(): Promise<number | null> {
+  private async untilExit(): Promise<number | null> {
     const at = this.process;
     if (!at) return null;
     return new Promise((resolve) => at.once("exit", resolve));
@@ -123,41 +123,41 @@
 
   /** Kills it with SIGKILL, and resolves once it has ended. */
   async kill(): Promise<void> {
-    this.expected = true;
-    const gone = this.gone();
+    this.isExpectedToEnd = true;
+    const exited = this.untilExit();
     this.process?.kill("SIGKILL");
-    await gone;
+    await exited;
   }
 
   /** Stops it with SIGTERM, and kills it if it does not end within {@link GRACE_MS}. */
   async stop(): Promise<void> {
-    this.expected = true;
-    const gone = this.gone();
+    this.isExpectedToEnd = true;
+    const exited = this.untilExit();
     this.process?.kill("SIGTERM");
-    const wasFrozen = this.frozen;
+    const wasFrozen = this.isFrozen;
     const late = setTimeout(() => {
       if (!wasFrozen) this.fault(`${this.plan.name} did not end within its grace`);
       this.process?.kill("SIGKILL");
     }, GRACE_MS);
-    const code = await gone;
+    const code = await exited;
     clearTimeout(late);
     if (code !== 0 && code !== null) this.fault(`${this.plan.name} ended with status ${code}`);
   }
 
   /** Suspends the process until {@link thaw}. */
   freeze(): void {
-    this.frozen = true;
+    this.isFrozen = true;
     this.process?.kill("SIGSTOP");
   }
 
   thaw(): void {
-    this.frozen = false;
+    this.isFrozen = false;
     this.process?.kill("SIGCONT");
   }
 
   /** Writes its settings again and makes it reload them, with SIGHUP. */
   reload(): void {
-    this.write();
+    this.writeSettings();
     this.process?.kill("SIGHUP");
   }
 
--- a/bench/soak/disturbances.ts
+++ b/bench/soak/disturbances.ts
@@ -13,7 +13,7 @@
 }
 
 /** Milliseconds for which a fault may show effects after its end: a host is back in contact after three seconds. */
-const AFTER_MS = 3500;
+const AFTER_EFFECT_MS = 3500;
 
 /** Whether a disturbance that `which` selects was active, or had ended shortly before, between two times. */
 export function any(
@@ -22,7 +22,7 @@
   to: number,
   which: (d: Disturbance) => boolean,
 ): boolean {
-  return list.some((d) => d.from < to && d.to + AFTER_MS > from && which(d));
+  return list.some((d) => d.from < to && d.to + AFTER_EFFECT_MS > from && which(d));
 }
 
 /** The place of a worker: its instance name without the `.N` that counts the starts of workers. */
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -44,78 +44,78 @@
   readonly begin: (d: Deps) => Struck | undefined;
 }
 
-const nothing = (): undefined => undefined;
+const doNothing = (): undefined => undefined;
 
 /** Draws one of the daemons that run; undefined when none does. */
-function running(d: Deps, of: readonly daemons.Daemon[]): daemons.Daemon | undefined {
+function drawRunning(d: Deps, of: readonly daemons.Daemon[]): daemons.Daemon | undefined {
   const up = of.filter((x) => x.running);
   return up.length === 0 ? undefined : d.draw.one(up);
 }
 
-function killed(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
+function killFault(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
   return {
     name: `${name} killed`,
     lasts: [100, 1500],
     begin: (d) => {
-      const at = running(d, of(d.site));
-      if (!at) return undefined;
-      const gone = at.kill();
+      const daemon = drawRunning(d, of(d.site));
+      if (!daemon) return undefined;
+      const gone = daemon.kill();
       return {
-        on: [at.plan.name],
+        on: [daemon.plan.name],
         end: async () => {
           await gone;
-          at.start();
+          daemon.start();
         },
       };
     },
   };
 }
 
-function frozen(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
+function freezeFault(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
   return {
     name: `${name} frozen`,
     lasts: [200, 3000],
     begin: (d) => {
-      const at = running(d, of(d.site));
-      if (!at) return undefined;
-      at.freeze();
+      const daemon = drawRunning(d, of(d.site));
+      if (!daemon) return undefined;
+      daemon.freeze();
       return {
-        on: [at.plan.name],
+        on: [daemon.plan.name],
         end: () => {
-          at.thaw();
+          daemon.thaw();
         },
       };
     },
   };
 }
 
-function stopped(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
+function stopFault(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
   return {
     name: `${name} asked to stop`,
     lasts: [100, 500],
     begin: (d) => {
-      const at = running(d, of(d.site));
-      if (!at) return undefined;
-      const gone = at.stop();
+      const daemon = drawRunning(d, of(d.site));
+      if (!daemon) return undefined;
+      const gone = daemon.stop();
       return {
-        on: [at.plan.name],
+        on: [daemon.plan.name],
         end: async () => {
           await gone;
-          at.start();
+          daemon.start();
         },
       };
     },
   };
 }
 
-function mood(m: bases.Mood): Fault {
+function workerFault(m: bases.Mood): Fault {
   return {
     name: `worker ${m}`,
     lasts: [500, 4000],
     begin: (d) => {
       const able = (p: site.Place): boolean => m !== "late" || p.worker instanceof workers.Engine;
-      const at = d.draw.one(d.site.places.filter(able));
-      const { worker } = at;
+      const place = d.draw.one(d.site.places.filter(able));
+      const { worker } = place;
       worker.mood = m;
       return {
         on: [worker.instance],
@@ -128,24 +128,24 @@
 }
 
 /** A fault of the links to a worker and to the endpoint daemon beside it. */
-function link(name: string, begin: (d: Deps, p: site.Place) => void): Fault {
+function linkFault(name: string, begin: (d: Deps, p: site.Place) => void): Fault {
   return {
     name: `link ${name}`,
     lasts: [300, 3000],
     begin: (d) => {
-      const at = d.draw.one(d.site.places);
-      begin(d, at);
+      const place = d.draw.one(d.site.places);
+      begin(d, place);
       return {
-        on: [at.worker.instance, at.name],
+        on: [place.worker.instance, place.name],
         end: () => {
-          for (const p of [at.proxy, at.seats]) p?.set({ kind: "none" });
+          for (const p of [place.proxy, place.seats]) p?.set({ kind: "none" });
         },
       };
     },
   };
 }
 
-function store(name: string, begin: (d: Deps) => void): Fault {
+function storeFault(name: string, begin: (d: Deps) => void): Fault {
   return {
     name: `store ${name}`,
     lasts: [500, 5000],
@@ -174,9 +174,9 @@
   name: "worker leaves",
   lasts: [3500, 5000],
   begin: (d) => {
-    const at = d.draw.one(d.site.places);
-    const { instance } = at.worker;
-    d.site.leave(at);
+    const place = d.draw.one(d.site.places);
+    const { instance } = place.worker;
+    d.site.leave(place);
     d.history.changes.push({ kind: "leaving", instance, at: performance.now() });
     return {
       on: [],
@@ -184,15 +184,15 @@
         const now = performance.now();
         // Entry daemons that could not learn that it leaves may have sent requests to it until now.
         d.history.disturbances.push({ kind: "worker ends", on: instance, from: now, to: now });
-        await d.site.restart(at, instance);
+        await d.site.restart(place, instance);
       },
     };
   },
 };
 
 /** Ranges of the milliseconds between two attempts of a request that crashes its workers, and of all of its attempts. */
-const AGAIN_MS: readonly [number, number] = [20, 400];
-const COMES_MS: readonly [number, number] = [3000, 9000];
+const REPEAT_INTERVAL_MS: readonly [number, number] = [20, 400];
+const REPEAT_FOR_MS: readonly [number, number] = [3000, 9000];
 const FATAL_KINDS = ["stream", "call", "call_once"] as const;
 const FATAL_PATHS = { stream: "/s/", call: "/c/", call_once: "/n/" } as const;
 
@@ -208,19 +208,19 @@
     leaveMs: undefined,
     fatal: `fatal-${Math.floor(d.draw.part() * 1e9)}`,
   };
-  const until = performance.now() + d.draw.between(...COMES_MS);
+  const until = performance.now() + d.draw.between(...REPEAT_FOR_MS);
   const attempts: Promise<void>[] = [];
   while (performance.now() < until) {
     attempts.push(caller.once({ ...d.world, wish: () => wish }));
-    await timers.setTimeout(d.draw.between(...AGAIN_MS));
+    await timers.setTimeout(d.draw.between(...REPEAT_INTERVAL_MS));
   }
   await Promise.all(attempts);
 }
 
 /** Number of faults that end entry daemons while a service sheds load, and range of the milliseconds between them. */
-const GO = 6;
-const GO_MS: readonly [number, number] = [200, 1500];
-const GONE = [killed("entry daemon", entries), stopped("entry daemon", entries)];
+const RESTARTS = 6;
+const RESTART_INTERVAL_MS: readonly [number, number] = [200, 1500];
+const RESTART_FAULTS = [killFault("entry daemon", entries), stopFault("entry daemon", entries)];
 
 /** Lets all workers of one service shed load while entry daemons are killed or asked to stop, one after the other. */
 export async function shedding(
@@ -231,9 +231,9 @@
   const struck = d.site.places.map((p) => p.worker).filter((w) => w.service === service);
   for (const w of struck) w.mood = "shedding";
   const going: Promise<void>[] = [];
-  for (let n = 0; n < GO; n++) {
-    await timers.setTimeout(d.draw.between(...GO_MS));
-    going.push(strike(d.draw.one(GONE)) ?? Promise.resolve());
+  for (let n = 0; n < RESTARTS; n++) {
+    await timers.setTimeout(d.draw.between(...RESTART_INTERVAL_MS));
+    going.push(strike(d.draw.one(RESTART_FAULTS)) ?? Promise.resolve());
   }
   await Promise.all(going);
   for (const w of struck) if (w.mood === "shedding") w.mood = "well";
@@ -241,22 +241,22 @@
 
 /** Range of the limits that a worker announces, in requests a second, and of the milliseconds for which it does. */
 const LIMIT_PER_S: readonly [number, number] = [0.5, 6];
-const LIMITED_MS: readonly [number, number] = [4000, 9000];
+const LIMIT_FOR_MS: readonly [number, number] = [4000, 9000];
 
 /** Lets a worker announce a limit for a while, at most until `until`. */
 export async function limiting(d: Deps, until: number): Promise<void> {
   const { worker } = d.draw.one(d.site.places);
   worker.limitPerS = Math.round(d.draw.between(...LIMIT_PER_S) * 10) / 10;
-  const ms = d.draw.between(...LIMITED_MS);
+  const ms = d.draw.between(...LIMIT_FOR_MS);
   await timers.setTimeout(Math.max(0, Math.min(ms, until - performance.now())));
   worker.limitPerS = undefined;
 }
 
-const storeIsBusy = store("is busy", (d) => {
+const storeIsBusy = storeFault("is busy", (d) => {
   d.site.store.faults.mode = "busy";
 });
 /** Range of the milliseconds from the start of the store's outage until a worker leaves. */
-const UNHEARD_MS: readonly [number, number] = [100, 1200];
+const LEAVE_DELAY_MS: readonly [number, number] = [100, 1200];
 
 /** Lets a worker leave while the store is unavailable, so that only the worker's answers announce it. */
 export async function unheard(
@@ -264,30 +264,30 @@
   strike: (f: Fault) => Promise<void> | undefined,
 ): Promise<void> {
   const out = strike(storeIsBusy);
-  await timers.setTimeout(d.draw.between(...UNHEARD_MS));
+  await timers.setTimeout(d.draw.between(...LEAVE_DELAY_MS));
   await Promise.all([out, strike(workerLeaves)]);
 }
 
 /** Share of the occasions on which all workers of a service ask for a pause, instead of some. */
-const ALL_PART = 0.3;
+const ALL_WORKERS_SHARE = 0.3;
 /** Ranges of the pause in seconds, of the share of requests that a worker sheds, and of the milliseconds for which it does. */
 const PAUSE_S: readonly [number, number] = [0.3, 3];
-const SHED_PART: readonly [number, number] = [0.3, 1];
-const IN_NEED_MS: readonly [number, number] = [2000, 6000];
+const SHED_SHARE: readonly [number, number] = [0.3, 1];
+const PAUSES_FOR_MS: readonly [number, number] = [2000, 6000];
 
 /** Lets some workers of a service shed requests and ask for pauses for a while, at most until `until`. */
 export async function pausing(d: Deps, until: number): Promise<void> {
-  const all = d.draw.part() < ALL_PART;
+  const all = d.draw.part() < ALL_WORKERS_SHARE;
   const { service } = d.draw.one(d.site.places).worker;
   const struck = d.site.places
     .map((p) => p.worker)
     .filter((w) => w.service === service && w.mood === "well" && (all || d.draw.part() < 0.5));
   for (const w of struck) {
     w.mood = "shedding";
-    w.shedPart = d.draw.between(...SHED_PART);
+    w.shedPart = d.draw.between(...SHED_SHARE);
     w.pauseS = Math.round(d.draw.between(...PAUSE_S) * 10) / 10;
   }
-  const ms = d.draw.between(...IN_NEED_MS);
+  const ms = d.draw.between(...PAUSES_FOR_MS);
   await timers.setTimeout(Math.max(0, Math.min(ms, until - performance.now())));
   for (const w of struck) {
     if (w.mood === "shedding") w.mood = "well";
@@ -301,72 +301,74 @@
   workerLeaves,
   workerLeaves,
   workerLeaves,
-  killed("entry daemon", entries),
-  killed("endpoint daemon", endpoints),
-  frozen("entry daemon", entries),
-  frozen("endpoint daemon", endpoints),
-  stopped("entry daemon", entries),
-  stopped("endpoint daemon", endpoints),
+  killFault("entry daemon", entries),
+  killFault("endpoint daemon", endpoints),
+  freezeFault("entry daemon", entries),
+  freezeFault("endpoint daemon", endpoints),
+  stopFault("entry daemon", entries),
+  stopFault("endpoint daemon", endpoints),
   {
     name: "settings changed",
     lasts: [10, 50],
     begin: (d) => {
-      const at = running(d, [...d.site.entries, ...d.site.endpoints]);
-      at?.reload();
-      return at && { on: [at.plan.name], end: nothing };
+      const daemon = drawRunning(d, [...d.site.entries, ...d.site.endpoints]);
+      daemon?.reload();
+      return daemon && { on: [daemon.plan.name], end: doNothing };
     },
   },
-  ...(["failing", "hanging", "slow", "breaking", "doubling", "losing", "late"] as const).map(mood),
+  ...(["failing", "hanging", "slow", "breaking", "doubling", "losing", "late"] as const).map(
+    workerFault,
+  ),
   {
     name: "worker crashes",
     lasts: [200, 2000],
     begin: (d) => {
-      const at = d.draw.one(d.site.places);
-      const { instance } = at.worker;
-      d.site.end(at);
+      const place = d.draw.one(d.site.places);
+      const { instance } = place.worker;
+      d.site.end(place);
       return {
         on: [instance],
-        end: () => d.site.restart(at, instance),
+        end: () => d.site.restart(place, instance),
       };
     },
   },
-  link("delays", (d, p) => {
+  linkFault("delays", (d, p) => {
     const ms = d.draw.between(20, 250);
     for (const x of [p.proxy, p.seats]) x?.set({ kind: "delay", ms });
   }),
-  link("is silent", (_d, p) => {
+  linkFault("is silent", (_d, p) => {
     for (const x of [p.proxy, p.seats]) x?.set({ kind: "silence" });
   }),
-  link("is cut one way", (d, p) => {
+  linkFault("is cut one way", (d, p) => {
     const hold = d.draw.one(["requests", "answers"] as const);
     for (const x of [p.proxy, p.seats]) x?.set({ kind: "one_way", hold });
   }),
-  link("is reset", (d, p) => {
+  linkFault("is reset", (d, p) => {
     for (const x of [p.proxy, p.seats]) x?.reset(0.6, d.draw.part);
   }),
   storeIsBusy,
-  store("is silent", (d) => {
+  storeFault("is silent", (d) => {
     d.site.store.faults.mode = "silent";
   }),
-  store("is slow", (d) => {
+  storeFault("is slow", (d) => {
     d.site.store.faults.delayMs = d.draw.between(50, 400);
   }),
-  store("loses answers", (d) => {
+  storeFault("loses answers", (d) => {
     d.site.store.faults.loseWrites = 0.5;
   }),
-  store("forgets its history", (d) => {
+  storeFault("forgets its history", (d) => {
     d.site.store.compact();
   }),
   {
     name: "store out of reach of one",
     lasts: [500, 5000],
     begin: (d) => {
-      const [name, at] = d.draw.one([...d.site.storeLinks]);
-      at.set({ kind: "silence" });
+      const [name, proxy] = d.draw.one([...d.site.storeLinks]);
+      proxy.set({ kind: "silence" });
       return {
         on: [history.storeLink(name)],
         end: () => {
-          at.set({ kind: "none" });
+          proxy.set({ kind: "none" });
         },
       };
     },
--- a/bench/soak/history.ts
+++ b/bench/soak/history.ts
@@ -75,25 +75,25 @@
 /** Milliseconds within which a declared version must be in force, as documented. */
 export const VERSION_MS = 5000;
 /** Paths of the routes that every configuration has. */
-const ALWAYS = new Set(["/s/", "/o/", "/c/", "/n/"]);
+const STATIC_PATHS = new Set(["/s/", "/o/", "/c/", "/n/"]);
 /** Milliseconds within which a declared change must be in force on hosts that can reach the store, as documented. */
 const IN_FORCE_MS = 2000;
 /** Milliseconds by which an answer may miss the caller's deadline, to allow for a busy machine. */
-const LATE_MS = 700;
+const LATE_TOLERANCE_MS = 700;
 /** Milliseconds before the caller's deadline from which an answer may be given up. */
-const EARLY_MS = 60;
+const EARLY_TOLERANCE_MS = 60;
 /** Milliseconds after a caller's disconnect within which its worker must stop. */
-const LEFT_MS = 900;
+const CANCEL_MS = 900;
 /** Worker crashes after which all hosts must know that a request is fatal, as documented. */
-const PROOFS = 3;
+const CRASHES_UNTIL_KNOWN = 3;
 /** Further sends of such a request that are tolerated, as documented. */
-const BORNE = 3;
+const TOLERATED_SENDS = 3;
 /** Milliseconds after the last of those crashes until all hosts must know of it. */
 const CONTACT_MS = 3000;
 /** Disturbances that are planned work and so may not interrupt a request. */
-const PLANNED = /asked to stop|settings changed/;
+const PLANNED_WORK = /asked to stop|settings changed/;
 /** Statuses that promise that the request did not run. */
-const REFUSALS = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** Whether an entry daemon may have been unable to read the store or to run at some time in the interval. */
 function outOfTouch(h: History, entry: string, from: number, to: number): boolean {
@@ -145,7 +145,7 @@
     return !ends && runs.length > ATTEMPTS[s.kind] ? `ran on ${runs.length} workers` : undefined;
   },
   function notRun(s, runs) {
-    if (s.end.kind !== "answer" || !REFUSALS.has(s.end.status) || runs.length === 0)
+    if (s.end.kind !== "answer" || !NOT_RUN_STATUSES.has(s.end.status) || runs.length === 0)
       return undefined;
     return `was told ${s.end.status}, and ran`;
   },
@@ -157,7 +157,8 @@
     return `ran on version ${old.version}, though ${s.version} was declared long before`;
   },
   function late(s, _runs, h) {
-    if (s.end.kind === "left" || s.endedAt - s.sentAt < s.waitMs + LATE_MS) return undefined;
+    if (s.end.kind === "left" || s.endedAt - s.sentAt < s.waitMs + LATE_TOLERANCE_MS)
+      return undefined;
     if (disturbances.any(h.disturbances, s.sentAt, s.endedAt, (d) => d.on === s.entry))
       return undefined;
     return `had its answer after ${Math.round(s.endedAt - s.sentAt)} of ${s.waitMs} ms`;
@@ -167,16 +168,16 @@
     // A request may meet the close of an idle connection; this is allowed if it was not passed on.
     if (runs.length === 0 && s.end.text === "") return undefined;
     // A stream is broken off at its deadline, since it must not look complete.
-    if (s.endedAt - s.sentAt >= s.waitMs - EARLY_MS) return undefined;
+    if (s.endedAt - s.sentAt >= s.waitMs - EARLY_TOLERANCE_MS) return undefined;
     const struck = (d: disturbances.Disturbance): boolean =>
-      (d.on === s.entry && !PLANNED.test(d.kind)) || runs.some((r) => r.instance === d.on);
+      (d.on === s.entry && !PLANNED_WORK.test(d.kind)) || runs.some((r) => r.instance === d.on);
     return disturbances.any(h.disturbances, s.sentAt, s.endedAt, struck)
       ? undefined
       : `was cut off: ${s.end.why}`;
   },
   function route(s, runs, h) {
     const refused = s.end.kind === "answer" && s.end.status === 404;
-    if (ALWAYS.has(s.path)) return refused ? "a route in force was denied" : undefined;
+    if (STATIC_PATHS.has(s.path)) return refused ? "a route in force was denied" : undefined;
     const changes = h.changes.filter((c) => c.kind !== "leaving" && c.path === s.path);
     const pending = changes.some((c) => c.at >= s.sentAt - IN_FORCE_MS && c.at < s.endedAt);
     if (pending || outOfTouch(h, s.entry, s.sentAt - IN_FORCE_MS, s.endedAt)) return undefined;
@@ -202,12 +203,12 @@
   },
   function gone(s, runs, h) {
     if (s.end.kind !== "left") return undefined;
-    const on = runs.find((r) => (r.endedAt ?? Infinity) > s.endedAt + LEFT_MS);
+    const on = runs.find((r) => (r.endedAt ?? Infinity) > s.endedAt + CANCEL_MS);
     // A link that is cut in one direction delivers the bytes it held when the cut ends, to the worker then at that place.
     const parts = new Set([s.entry, on?.instance, on && disturbances.placeOf(on.instance)]);
     if (
       !on ||
-      disturbances.any(h.disturbances, s.sentAt, s.endedAt + LEFT_MS, (d) => parts.has(d.on))
+      disturbances.any(h.disturbances, s.sentAt, s.endedAt + CANCEL_MS, (d) => parts.has(d.on))
     )
       return undefined;
     return `left, and ${on.instance} worked on`;
@@ -215,18 +216,21 @@
 ];
 
 /** One line for each request that crashed its workers and was still sent too often once this was known. */
-function fatal(h: History, runs: ReadonlyMap<string, readonly journals.Run[]>): readonly string[] {
+function fatalViolations(
+  h: History,
+  runs: ReadonlyMap<string, readonly journals.Run[]>,
+): readonly string[] {
   return [...new Set(h.kept.crashes.map((c) => c.body))].flatMap((body) => {
-    const ends = h.kept.crashes.filter((c) => c.body === body);
-    const third = ends[PROOFS - 1];
-    if (!third) return [];
-    const known = third.at + CONTACT_MS;
+    const crashes = h.kept.crashes.filter((c) => c.body === body);
+    const lastNeeded = crashes[CRASHES_UNTIL_KNOWN - 1];
+    if (!lastNeeded) return [];
+    const knownAt = lastNeeded.at + CONTACT_MS;
     const late = h.seen.filter(
       (s) => s.body === body && !outOfTouch(h, s.entry, s.sentAt - CONTACT_MS, s.endedAt),
     );
-    const sends = late.flatMap((s) => runs.get(s.id) ?? []).filter((r) => r.at > known);
-    if (sends.length <= BORNE) return [];
-    return [`fatal: ${body} was sent ${sends.length} times more; ${ends.length} workers ended`];
+    const sends = late.flatMap((s) => runs.get(s.id) ?? []).filter((r) => r.at > knownAt);
+    if (sends.length <= TOLERATED_SENDS) return [];
+    return [`fatal: ${body} was sent ${sends.length} times more; ${crashes.length} workers ended`];
   });
 }
 
@@ -252,7 +256,7 @@
     ...h.faults,
     ...h.kept.faults,
     ...ran,
-    ...fatal(h, runs),
+    ...fatalViolations(h, runs),
     ...beyond,
     ...retried,
     ...notices.violations(h),
@@ -270,17 +274,17 @@
 }
 
 /** Whether a request should be served: its route and API key are in force, and its team is within its cap. */
-function isOwed(h: History, s: Seen): boolean {
+function mustBeServed(h: History, s: Seen): boolean {
   const end = ending(s);
   // A wrong 404 is reported by the `route` check.
-  if (end === "429" || (end === "404" && !ALWAYS.has(s.path))) return false;
+  if (end === "429" || (end === "404" && !STATIC_PATHS.has(s.path))) return false;
   return h.teams.keys.some((k) => k.key === s.key && k.until > s.sentAt);
 }
 
 /** Share of the requests sent after `from` that were served, of those that should be. */
 export function served(h: History, from: number): number {
   const late = h.seen.filter(
-    (s) => s.sentAt > from && s.end.kind !== "left" && s.path !== "/x/" && isOwed(h, s),
+    (s) => s.sentAt > from && s.end.kind !== "left" && s.path !== "/x/" && mustBeServed(h, s),
   );
   return late.filter((s) => ending(s) === "200").length / Math.max(1, late.length);
 }
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -48,11 +48,11 @@
 const MS_PER_MINUTE = 60_000;
 
 /** Number of random sequences reserved for each seed. */
-const DRAWS = 16;
+const SEQUENCES_PER_SEED = 16;
 
 /** The `n`th random sequence of a seed. */
-function drawing(seed: number, n: number): run.Draw {
-  const rng = generators.xoroshiro128plus(seed * DRAWS + n);
+function createDraw(seed: number, n: number): run.Draw {
+  const rng = generators.xoroshiro128plus(seed * SEQUENCES_PER_SEED + n);
   const part = (): number => uniform.uniformFloat64(rng);
   return {
     part,
@@ -73,13 +73,13 @@
   command.out(command.table([[title, "TIMES"], ...rows]));
 }
 
-const { seed: first, seeds, minutes: usual } = cli.flags;
+const { seed: firstSeed, seeds, minutes: defaultMinutes } = cli.flags;
 const runs = cli.flags.regressions
   ? regressions.REGRESSIONS
-  : Array.from({ length: seeds }, (_, i) => ({ seed: first + i, minutes: usual }));
+  : Array.from({ length: seeds }, (_, i) => ({ seed: firstSeed + i, minutes: defaultMinutes }));
 const endings: string[] = [];
-const troubles: string[] = [];
-let broken = 0;
+const faultKinds: string[] = [];
+let violationCount = 0;
 for (const { seed, minutes } of runs) {
   const folder = path.join(cli.flags.out, `seed-${seed}`);
   fs.rmSync(folder, { recursive: true, force: true });
@@ -88,22 +88,22 @@
     size: cli.flags,
     callers: cli.flags.callers,
     ms: minutes * MS_PER_MINUTE,
-    draw: (n) => drawing(seed, n),
+    draw: (n) => createDraw(seed, n),
     main: cli.flags.main,
     folder,
   });
   fs.writeFileSync(path.join(folder, "history.json"), JSON.stringify(h));
   const found = history.violations(h);
-  broken += found.length;
+  violationCount += found.length;
   endings.push(...h.seen.map((s) => `${s.kind} ${history.ending(s)}`));
-  troubles.push(...h.disturbances.map((d) => d.kind));
+  faultKinds.push(...h.disturbances.map((d) => d.kind));
   command.out(
-    `seed ${seed}: ${h.seen.length} requests, ${h.disturbances.length} troubles, ` +
+    `seed ${seed}: ${h.seen.length} requests, ${h.disturbances.length} disturbances, ` +
       `${found.length} violations`,
   );
   for (const line of found.slice(0, 20)) command.out(`  ${line}`);
 }
 tally("KIND AND ENDING", endings);
-tally("TROUBLE", troubles);
-command.out(`Requests: ${endings.length}. Violations: ${broken}.`);
-process.exit(broken === 0 ? 0 : 1);
+tally("DISTURBANCE", faultKinds);
+command.out(`Requests: ${endings.length}. Violations: ${violationCount}.`);
+process.exit(violationCount === 0 ? 0 : 1);
--- a/bench/soak/notices.ts
+++ b/bench/soak/notices.ts
@@ -20,9 +20,9 @@
       : [],
   );
   return [
-    ...limits.beyond(arrivals, (a) => isBound(h, a)),
+    ...limits.beyond(arrivals, (a) => countsAgainstLimit(h, a)),
     ...notices.reachedLeaving(arrivals, sent, told, daemons.DRAIN_MS, (entry, _by, from, to) =>
-      servesOn(h, entry, from, to),
+      ranThroughout(h, entry, from, to),
     ),
     ...notices.reachedPaused(arrivals, sent, (entry, by, from, to) => {
       const parts = new Set([entry, disturbances.placeOf(by)]);
@@ -32,12 +32,12 @@
 }
 
 /** Whether an entry daemon's process ran without interruption between two times: it was not ended or frozen. */
-function servesOn(h: history.History, entry: string, from: number, to: number): boolean {
+function ranThroughout(h: history.History, entry: string, from: number, to: number): boolean {
   return !h.disturbances.some((d) => d.on === entry && d.from < to && d.to > from);
 }
 
 /** Whether an arrival counts against its worker's limit: its entry host had passed the limit on, and nothing excuses it. */
-function isBound(h: history.History, a: journals.Arrival): boolean {
+function countsAgainstLimit(h: history.History, a: journals.Arrival): boolean {
   const entry = h.seen.find((s) => s.id === a.id)?.entry;
   if (entry === undefined) return false;
   const parts = new Set([entry, disturbances.placeOf(a.instance)]);
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -23,11 +23,11 @@
 
 /** Forwards connections from one port to another address. */
 export class Proxy {
-  private trouble: Trouble = { kind: "none" };
+  private fault: Trouble = { kind: "none" };
   private readonly pairs = new Set<Pair>();
-  private readonly resumed = new Set<() => void>();
+  private readonly resumeListeners = new Set<() => void>();
   private readonly server = net.createServer((near) => {
-    this.pass(near);
+    this.accept(near);
   });
 
   constructor(private target: () => string) {}
@@ -51,9 +51,9 @@
   }
 
   /** Sets the fault of the link, for existing and new connections. */
-  set(trouble: Trouble): void {
-    this.trouble = trouble;
-    for (const go of this.resumed) go();
+  set(fault: Trouble): void {
+    this.fault = fault;
+    for (const go of this.resumeListeners) go();
   }
 
   /** Resets a random share of the connections. */
@@ -65,7 +65,7 @@
     }
   }
 
-  private pass(near: net.Socket): void {
+  private accept(near: net.Socket): void {
     const [host, port] = this.target().split(":");
     const far = net.connect({ host, port: Number(port) });
     const pair = { near, far };
@@ -81,8 +81,8 @@
     far.once("close", over);
   }
 
-  private held(which: "requests" | "answers"): boolean {
-    const t = this.trouble;
+  private isHeld(which: "requests" | "answers"): boolean {
+    const t = this.fault;
     switch (t.kind) {
       case "silence":
         return true;
@@ -96,15 +96,15 @@
 
   /** Waits until bytes of one direction may pass. Returns false if the connection closes first. */
   private async mayPass(which: "requests" | "answers", socket: net.Socket): Promise<boolean> {
-    if (this.trouble.kind === "delay") await timers.setTimeout(this.trouble.ms);
-    while (this.held(which) && !socket.destroyed) {
+    if (this.fault.kind === "delay") await timers.setTimeout(this.fault.ms);
+    while (this.isHeld(which) && !socket.destroyed) {
       await new Promise<void>((resolve) => {
         const go = (): void => {
-          this.resumed.delete(go);
+          this.resumeListeners.delete(go);
           socket.off("close", go);
           resolve();
         };
-        this.resumed.add(go);
+        this.resumeListeners.add(go);
         socket.once("close", go);
       });
     }
--- a/bench/soak/retries.ts
+++ b/bench/soak/retries.ts
@@ -8,7 +8,7 @@
 import * as daemons from "./daemon.js";
 
 const MS_PER_S = 1000;
-const BOUNDS: rule.Bounds = {
+const BUDGET: rule.Bounds = {
   windowMs: daemons.RETRIES.windowS * MS_PER_S,
   ratio: daemons.RETRIES.ratio,
   slack: daemons.RETRIES.slack,
@@ -32,20 +32,20 @@
   return services.flatMap((service) => {
     const own = sent.filter((s) => s.service === service);
     const times = own.map((s) => s.at).sort((a, b) => a - b);
-    const further = beyondFirst(arrivals.filter((a) => a.service === service));
-    const worst = rule.worst(times, further, BOUNDS);
+    const further = retryTimes(arrivals.filter((a) => a.service === service));
+    const worst = rule.worst(times, further, BUDGET);
     if (!worst || worst.retries <= worst.allowed) return [];
-    const counts = `${worst.retries} retries in ${BOUNDS.windowMs} ms, allowed ${worst.allowed}`;
+    const counts = `${worst.retries} retries in ${BUDGET.windowMs} ms, allowed ${worst.allowed}`;
     return [`retries: ${service} got ${counts}`];
   });
 }
 
 /** Times at which a request reached a worker after it had reached one before. */
-function beyondFirst(arrivals: readonly journals.Arrival[]): readonly number[] {
-  const known = new Set<string>();
+function retryTimes(arrivals: readonly journals.Arrival[]): readonly number[] {
+  const seenIds = new Set<string>();
   return arrivals.flatMap((a) => {
-    const isFirst = !known.has(a.id);
-    known.add(a.id);
+    const isFirst = !seenIds.has(a.id);
+    seenIds.add(a.id);
     return isFirst ? [] : [a.at];
   });
 }
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -25,67 +25,73 @@
 }
 
 /** Range of the milliseconds from one fault to the next. */
-const PAUSE_MS: readonly [number, number] = [100, 1600];
+const FAULT_INTERVAL_MS: readonly [number, number] = [100, 1600];
 /** Share of the kinds of fault that one run uses. */
-const KINDS = 0.35;
+const KIND_SHARE = 0.35;
 /** Most faults that are active at the same time. */
-const TOGETHER = 4;
+const MAX_ACTIVE_FAULTS = 4;
 /** Range of the milliseconds from one change by the operator to the next. */
-const OPERATE_MS: readonly [number, number] = [700, 3000];
+const OPERATOR_INTERVAL_MS: readonly [number, number] = [700, 3000];
 /** Milliseconds at the end of a run without faults. */
 const CALM_MS = 9000;
 /** The last milliseconds of the calm period, in which the site must have recovered. */
-const WELL_MS = 4000;
+const RECOVERED_MS = 4000;
 /** Least share of the requests that must be served once the site has recovered. */
-const SERVED = 0.9;
+const MIN_SERVED_SHARE = 0.9;
 /**
  * Share of the runs in which requests crash their workers, range of the milliseconds before each such request, and number of
  * the random sequence for them. It has its own sequence so that a seed's other faults stay the same.
  */
-const FATAL = 0.5;
-const FATAL_PAUSE_MS: readonly [number, number] = [500, 4000];
+const FATAL_SHARE = 0.5;
+const FATAL_INTERVAL_MS: readonly [number, number] = [500, 4000];
 const FATAL_DRAWS = 3;
 /** The same for services that shed load. */
-const SHED = 0.4;
-const SHED_PAUSE_MS: readonly [number, number] = [500, 4000];
+const SHED_SHARE = 0.4;
+const SHED_INTERVAL_MS: readonly [number, number] = [500, 4000];
 const SHED_DRAWS = 6;
 /** The same for workers that announce limits, with the number of loops that do so at once. */
-const LIMIT = 0.6;
-const LIMITED = 2;
-const LIMIT_PAUSE_MS: readonly [number, number] = [200, 2500];
+const LIMIT_SHARE = 0.6;
+const LIMIT_LOOPS = 2;
+const LIMIT_INTERVAL_MS: readonly [number, number] = [200, 2500];
 const LIMIT_DRAWS = 7;
 /** The same for workers that ask for pauses. */
-const PAUSE = 0.6;
-const PAUSE_PAUSE_MS: readonly [number, number] = [300, 3000];
+const PAUSE_SHARE = 0.6;
+const PAUSE_INTERVAL_MS: readonly [number, number] = [300, 3000];
 const PAUSE_DRAWS = 8;
 /** The same for workers that leave while the store is unavailable. */
-const UNHEARD = 0.6;
-const UNHEARD_PAUSE_MS: readonly [number, number] = [500, 4000];
-const UNHEARD_DRAWS = 9;
+const OUTAGE_LEAVE_SHARE = 0.6;
+const OUTAGE_LEAVE_INTERVAL_MS: readonly [number, number] = [500, 4000];
+const OUTAGE_LEAVE_DRAWS = 9;
 /** Numbers of the random sequences for the API keys of requests, and for the operator's changes of keys and caps. */
 const KEY_DRAWS = 4;
 const TEAM_DRAWS = 5;
 /** Range of the milliseconds from one change of keys or caps to the next, and share of the changes that are to a cap. */
-const ROTATE_MS: readonly [number, number] = [1500, 5000];
-const CAP_PART = 0.35;
+const TEAM_CHANGE_INTERVAL_MS: readonly [number, number] = [1500, 5000];
+const CAP_SHARE = 0.35;
 /** Draws to skip at the start of a sequence, which hardly differ from one seed to the next. */
-const ALIKE = 2;
+const SKIPPED_DRAWS = 2;
 /** Share of the requests whose callers disconnect early, in general and for the slow adapter. */
-const LEAVING = 0.05;
-const LEAVING_SLOW = 0.4;
+const DISCONNECT_SHARE = 0.05;
+const SLOW_DISCONNECT_SHARE = 0.4;
 
 /** Runs the soak once and returns the record of the run. */
 export async function run(plan: Plan): Promise<history.History> {
-  const wrong: string[] = [];
-  const given = teams.begin(performance.now());
-  const s = new site.Site(plan.size, plan.main, plan.folder, (what) => wrong.push(what), given);
+  const soakFaults: string[] = [];
+  const teamState = teams.begin(performance.now());
+  const s = new site.Site(
+    plan.size,
+    plan.main,
+    plan.folder,
+    (what) => soakFaults.push(what),
+    teamState,
+  );
   const h: history.History = {
     seen: [],
     kept: s.kept,
     disturbances: [],
     changes: [],
-    teams: given,
-    faults: wrong,
+    teams: teamState,
+    faults: soakFaults,
   };
   const declared: { adapter: string; version: number; at: number }[] = [];
   s.ended = (instance) => {
@@ -93,32 +99,33 @@
     h.disturbances.push({ kind: "request ends worker", on: instance, from: now, to: now });
   };
   await s.start();
-  const over = new AbortController();
-  const world = worldOf(s, plan.draw(0), plan.draw(KEY_DRAWS), h, declared);
+  const stopCallers = new AbortController();
+  const world = createEnvironment(s, plan.draw(0), plan.draw(KEY_DRAWS), h, declared);
   const deps = (n: number): faults.Deps => ({ site: s, draw: plan.draw(n), history: h, world });
-  const callers = Array.from({ length: plan.callers }, () => caller.run(world, over.signal));
+  const callers = Array.from({ length: plan.callers }, () => caller.run(world, stopCallers.signal));
   const until = performance.now() + plan.ms;
-  const all = [trouble(deps(1), until), operate(deps(2), until, declared)];
+  const all = [injectFaults(deps(1), until), changeConfiguration(deps(2), until, declared)];
   await Promise.all([
     ...all,
-    crash(deps(FATAL_DRAWS), until),
-    shed(deps(SHED_DRAWS), until),
-    limit(deps(LIMIT_DRAWS), until),
-    pause(deps(PAUSE_DRAWS), until),
-    leave(deps(UNHEARD_DRAWS), until),
-    rotate(s, given, plan.draw(TEAM_DRAWS), until),
+    sendFatalRequests(deps(FATAL_DRAWS), until),
+    shedRepeatedly(deps(SHED_DRAWS), until),
+    limitRepeatedly(deps(LIMIT_DRAWS), until),
+    pauseRepeatedly(deps(PAUSE_DRAWS), until),
+    leaveRepeatedly(deps(OUTAGE_LEAVE_DRAWS), until),
+    changeTeams(s, teamState, plan.draw(TEAM_DRAWS), until),
   ]);
   await timers.setTimeout(CALM_MS);
-  const well = performance.now() - WELL_MS;
-  over.abort();
+  const recoveredAt = performance.now() - RECOVERED_MS;
+  stopCallers.abort();
   await Promise.all(callers);
   await s.stop();
-  const part = history.served(h, well);
-  if (part < SERVED) wrong.push(`recovery: ${Math.round(part * 100)} of 100 served at the end`);
+  const share = history.served(h, recoveredAt);
+  if (share < MIN_SERVED_SHARE)
+    soakFaults.push(`recovery: ${Math.round(share * 100)} of 100 served at the end`);
   return h;
 }
 
-function worldOf(
+function createEnvironment(
   s: site.Site,
   draw: Draw,
   keys: Draw,
@@ -128,10 +135,10 @@
   let count = 0;
   const wish = (): caller.Wish => {
     const kind = draw.one(["stream", "stream", "stream_once", "call", "call_once"] as const);
-    const adapter = kind.startsWith("stream") ? popular(draw) : "";
+    const adapter = kind.startsWith("stream") ? drawAdapter(draw) : "";
     const extra = kind === "call" && draw.part() < 0.3;
     const path = extra ? draw.one(faults.PATHS) : PATH_OF[kind];
-    const leaving = adapter === site.SLOW_ADAPTER ? LEAVING_SLOW : LEAVING;
+    const leaving = adapter === site.SLOW_ADAPTER ? SLOW_DISCONNECT_SHARE : DISCONNECT_SHARE;
     const sure = performance.now() - history.VERSION_MS;
     const versions = declared.filter((d) => d.adapter === adapter && d.at < sure);
     return {
@@ -164,121 +171,126 @@
 };
 
 /** Draws an adapter; a few of them get most of the requests. */
-function popular(draw: Draw): string {
+function drawAdapter(draw: Draw): string {
   const n = Math.floor(draw.part() ** 3 * faults.ADAPTERS.length);
   return faults.ADAPTERS[n] ?? "a1";
 }
 
 /** Starts faults until `until`, and resolves once the last one has ended. */
-async function trouble(d: faults.Deps, until: number): Promise<void> {
-  const on = new Map<string, Promise<void>>();
+async function injectFaults(d: faults.Deps, until: number): Promise<void> {
+  const activeFaults = new Map<string, Promise<void>>();
   // A run uses only some kinds of fault: with all of them, each would excuse what another would reveal.
-  const drawn = faults.FAULTS.filter(() => d.draw.part() < KINDS);
+  const drawn = faults.FAULTS.filter(() => d.draw.part() < KIND_SHARE);
   const kinds = drawn.length > 0 ? drawn : faults.FAULTS;
   while (performance.now() < until) {
-    await timers.setTimeout(d.draw.between(...PAUSE_MS));
-    if (on.size >= TOGETHER) continue;
+    await timers.setTimeout(d.draw.between(...FAULT_INTERVAL_MS));
+    if (activeFaults.size >= MAX_ACTIVE_FAULTS) continue;
     const fault = d.draw.one(kinds);
-    if (on.has(fault.name)) continue;
-    const mended = strike(d, fault);
-    if (!mended) continue;
-    on.set(
+    if (activeFaults.has(fault.name)) continue;
+    const ended = inject(d, fault);
+    if (!ended) continue;
+    activeFaults.set(
       fault.name,
-      mended.then(() => {
-        on.delete(fault.name);
+      ended.then(() => {
+        activeFaults.delete(fault.name);
       }),
     );
   }
-  await Promise.all(on.values());
+  await Promise.all(activeFaults.values());
 }
 
 /** Starts a fault and records it; resolves once it has ended. Undefined when it has nothing to affect. */
-function strike(d: faults.Deps, fault: faults.Fault): Promise<void> | undefined {
-  const struck = fault.begin(d);
-  if (!struck) return undefined;
+function inject(d: faults.Deps, fault: faults.Fault): Promise<void> | undefined {
+  const active = fault.begin(d);
+  if (!active) return undefined;
   const from = performance.now();
-  const notes = struck.on.map((name) => ({ kind: fault.name, on: name, from, to: Infinity }));
-  d.history.disturbances.push(...notes);
+  const records = active.on.map((name) => ({ kind: fault.name, on: name, from, to: Infinity }));
+  d.history.disturbances.push(...records);
   return (async () => {
     await timers.setTimeout(d.draw.between(...fault.lasts));
-    await struck.end();
-    for (const n of notes) n.to = performance.now();
+    await active.end();
+    for (const n of records) n.to = performance.now();
   })();
 }
 
 /** Draws whether this run belongs to the given share of all runs. */
-function isOneOf(d: faults.Deps, part: number): boolean {
-  for (let i = 0; i < ALIKE; i++) d.draw.part();
-  return d.draw.part() < part;
+function isInShare(d: faults.Deps, share: number): boolean {
+  for (let i = 0; i < SKIPPED_DRAWS; i++) d.draw.part();
+  return d.draw.part() < share;
 }
 
 /** In some runs, lets services shed load while entry daemons restart, repeatedly until `until`. */
-async function shed(d: faults.Deps, until: number): Promise<void> {
-  if (!isOneOf(d, SHED)) return;
+async function shedRepeatedly(d: faults.Deps, until: number): Promise<void> {
+  if (!isInShare(d, SHED_SHARE)) return;
   while (performance.now() < until) {
-    await faults.shedding(d, (fault) => strike(d, fault));
-    await timers.setTimeout(d.draw.between(...SHED_PAUSE_MS));
+    await faults.shedding(d, (fault) => inject(d, fault));
+    await timers.setTimeout(d.draw.between(...SHED_INTERVAL_MS));
   }
 }
 
 /** In some runs, sends requests that crash their workers, one after the other until `until`. */
-async function crash(d: faults.Deps, until: number): Promise<void> {
-  if (!isOneOf(d, FATAL)) return;
+async function sendFatalRequests(d: faults.Deps, until: number): Promise<void> {
+  if (!isInShare(d, FATAL_SHARE)) return;
   while (performance.now() < until) {
-    await timers.setTimeout(d.draw.between(...FATAL_PAUSE_MS));
+    await timers.setTimeout(d.draw.between(...FATAL_INTERVAL_MS));
     await faults.fatal(d);
   }
 }
 
 /** In some runs, lets workers announce limits until `until`, in several loops at once. */
-async function limit(d: faults.Deps, until: number): Promise<void> {
-  if (!isOneOf(d, LIMIT)) return;
+async function limitRepeatedly(d: faults.Deps, until: number): Promise<void> {
+  if (!isInShare(d, LIMIT_SHARE)) return;
   const one = async (): Promise<void> => {
     while (performance.now() < until) {
       await faults.limiting(d, until);
-      await timers.setTimeout(d.draw.between(...LIMIT_PAUSE_MS));
+      await timers.setTimeout(d.draw.between(...LIMIT_INTERVAL_MS));
     }
   };
-  await Promise.all(Array.from({ length: LIMITED }, one));
+  await Promise.all(Array.from({ length: LIMIT_LOOPS }, one));
 }
 
 /** In some runs, lets workers shed requests and ask for pauses, repeatedly until `until`. */
-async function pause(d: faults.Deps, until: number): Promise<void> {
-  if (!isOneOf(d, PAUSE)) return;
+async function pauseRepeatedly(d: faults.Deps, until: number): Promise<void> {
+  if (!isInShare(d, PAUSE_SHARE)) return;
   while (performance.now() < until) {
     await faults.pausing(d, until);
-    await timers.setTimeout(d.draw.between(...PAUSE_PAUSE_MS));
+    await timers.setTimeout(d.draw.between(...PAUSE_INTERVAL_MS));
   }
 }
 
 /** In some runs, lets workers leave while the store is unavailable, repeatedly until `until`. */
-async function leave(d: faults.Deps, until: number): Promise<void> {
-  if (!isOneOf(d, UNHEARD)) return;
+async function leaveRepeatedly(d: faults.Deps, until: number): Promise<void> {
+  if (!isInShare(d, OUTAGE_LEAVE_SHARE)) return;
   while (performance.now() < until) {
-    await faults.unheard(d, (fault) => strike(d, fault));
-    await timers.setTimeout(d.draw.between(...UNHEARD_PAUSE_MS));
+    await faults.unheard(d, (fault) => inject(d, fault));
+    await timers.setTimeout(d.draw.between(...OUTAGE_LEAVE_INTERVAL_MS));
   }
 }
 
 /** Makes the operator's changes of API keys and of a cap, until `until`. */
-async function rotate(s: site.Site, given: teams.Teams, draw: Draw, until: number): Promise<void> {
+async function changeTeams(
+  s: site.Site,
+  given: teams.Teams,
+  draw: Draw,
+  until: number,
+): Promise<void> {
   while (performance.now() < until) {
-    await timers.setTimeout(draw.between(...ROTATE_MS));
+    await timers.setTimeout(draw.between(...TEAM_CHANGE_INTERVAL_MS));
     const now = performance.now();
-    if (draw.part() < CAP_PART) teams.toggleCap(given, now);
+    if (draw.part() < CAP_SHARE) teams.toggleCap(given, now);
     else teams.rotate(given, draw.one, now);
     s.configure();
   }
 }
 
 /** Makes the operator's other changes until `until`, and records the declared versions. */
-async function operate(
+async function changeConfiguration(
   d: faults.Deps,
   until: number,
   declared: { adapter: string; version: number; at: number }[],
 ): Promise<void> {
   while (performance.now() < until) {
-    await timers.setTimeout(d.draw.between(...OPERATE_MS));
+    await timers.setTimeout(d.draw.between(...OPERATOR_INTERVAL_MS));
     const before = new Map(d.site.newest);
     faults.operate(d);
     for (const [adapter, version] of d.site.newest) {
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -25,8 +25,8 @@
 /** Milliseconds after which a worker that a request has crashed starts again. */
 export const BACK_MS = 1500;
 /** Milliseconds between the load balancer's readiness checks, and failed checks in a row after which it drops a daemon. */
-const ASK_MS = 1000;
-const MISSES = 2;
+const PROBE_INTERVAL_MS = 1000;
+const MAX_FAILED_PROBES = 2;
 
 const ROUTES: readonly documents.Route[] = [
   { name: "s", prefix: "/s/", kind: "streaming", service: ENGINES, attempts: 2, resumable: true },
@@ -66,7 +66,7 @@
   private extra: readonly documents.Route[] = [];
   private version = 0;
   private started = 0;
-  private readonly misses = new Map<string, number>();
+  private readonly failedProbes = new Map<string, number>();
   private timer: NodeJS.Timeout | undefined;
   private readonly leaving = new Set<string>();
   private hosts = 0;
@@ -98,7 +98,7 @@
     for (let i = 0; i < this.size.plain; i++) await this.addPlain(i);
     for (let i = 0; i < this.size.entries; i++) await this.addEntry(i, seatPort);
     for (const d of [...this.endpoints, ...this.entries]) d.start();
-    this.timer = setInterval(() => void this.askAll(), ASK_MS);
+    this.timer = setInterval(() => void this.probeAll(), PROBE_INTERVAL_MS);
     await this.untilReady();
   }
 
@@ -180,7 +180,7 @@
     const [host, port] = p.worker.address.split(":");
     this.end(p);
     const { name, born } = p.worker;
-    p.worker = this.made(p.name, p.worker instanceof workers.Engine);
+    p.worker = this.createWorker(p.name, p.worker instanceof workers.Engine);
     if (born === undefined) this.store.remove(`servers/${name}`);
     else p.worker.name = name;
     await p.worker.start(host, Number(port));
@@ -196,7 +196,7 @@
   }
 
   /** Handles a worker's crash by a request: restarts it after {@link BACK_MS}. */
-  private crashed(worker: workers.Engine | workers.Plain): void {
+  private restartLater(worker: workers.Engine | workers.Plain): void {
     const p = this.places.find((x) => x.worker === worker);
     if (!p || this.stopped) return;
     this.end(p);
@@ -206,24 +206,24 @@
     }, BACK_MS);
   }
 
-  private made(name: string, engine: boolean): workers.Engine | workers.Plain {
-    const made = this.madeAnew(`${name}.${this.started++}`, engine);
-    if (tellsStart(name)) made.born = Date.now();
-    made.ended = () => {
-      this.crashed(made);
+  private createWorker(name: string, engine: boolean): workers.Engine | workers.Plain {
+    const worker = this.createInstance(`${name}.${this.started++}`, engine);
+    if (reportsStart(name)) worker.born = Date.now();
+    worker.ended = () => {
+      this.restartLater(worker);
     };
-    return made;
+    return worker;
   }
 
-  private madeAnew(instance: string, engine: boolean): workers.Engine | workers.Plain {
+  private createInstance(instance: string, engine: boolean): workers.Engine | workers.Plain {
     if (!engine) return new workers.Plain(PLAIN, instance, this.kept);
-    const made = new workers.Engine(ENGINES, instance, this.kept, SLOTS, this.newest);
-    made.eventMs = EVENT_MS;
-    made.slow = { adapter: SLOW_ADAPTER, eventMs: SLOW_EVENT_MS };
-    return made;
+    const worker = new workers.Engine(ENGINES, instance, this.kept, SLOTS, this.newest);
+    worker.eventMs = EVENT_MS;
+    worker.slow = { adapter: SLOW_ADAPTER, eventMs: SLOW_EVENT_MS };
+    return worker;
   }
 
-  private async storeFor(name: string): Promise<string> {
+  private async addStoreLink(name: string): Promise<string> {
     const link = new proxies.Proxy(() => this.store.address);
     this.storeLinks.set(name, link);
     return link.start(this.ip());
@@ -233,7 +233,7 @@
     const name = `engine-${i}`;
     const ip = this.ip();
     const before = this.ip();
-    const worker = this.made(name, true);
+    const worker = this.createWorker(name, true);
     await worker.start(ip);
     const proxy = new proxies.Proxy(() => place.worker.address);
     const seats = new proxies.Proxy(() => `${ip}:${seatPort}`);
@@ -247,7 +247,7 @@
       role: "endpoint",
       ip,
       seatPort,
-      store: await this.storeFor(`endpoint-${i}`),
+      store: await this.addStoreLink(`endpoint-${i}`),
       engine: worker.address,
       service: ENGINES,
     };
@@ -256,7 +256,7 @@
 
   private async addPlain(i: number): Promise<void> {
     const name = `plain-${i}`;
-    const worker = this.made(name, false);
+    const worker = this.createWorker(name, false);
     await worker.start(this.ip());
     const proxy = new proxies.Proxy(() => place.worker.address);
     const address = await proxy.start(this.ip());
@@ -272,7 +272,7 @@
       role: "entry",
       ip,
       seatPort,
-      store: await this.storeFor(`entry-${i}`),
+      store: await this.addStoreLink(`entry-${i}`),
       ports: [await freePorts.free(ip), await freePorts.free(ip)],
     };
     this.entries.push(new daemons.Daemon(plan, this.main, this.folder, this.fault));
@@ -280,16 +280,18 @@
 
   /** The entry daemons that the load balancer uses: the ready ones, or all if fewer than half are ready. */
   inRotation(): readonly daemons.Daemon[] {
-    const ready = this.entries.filter((d) => (this.misses.get(d.plan.name) ?? 0) < MISSES);
+    const ready = this.entries.filter(
+      (d) => (this.failedProbes.get(d.plan.name) ?? 0) < MAX_FAILED_PROBES,
+    );
     return ready.length * 2 < this.entries.length ? this.entries : ready;
   }
 
-  private async askAll(): Promise<void> {
+  private async probeAll(): Promise<void> {
     await Promise.all(
       this.entries.map(async (d) => {
         const ready = await isReady(d);
-        const misses = this.misses.get(d.plan.name) ?? 0;
-        this.misses.set(d.plan.name, ready ? 0 : misses + 1);
+        const misses = this.failedProbes.get(d.plan.name) ?? 0;
+        this.failedProbes.set(d.plan.name, ready ? 0 : misses + 1);
       }),
     );
   }
@@ -307,7 +309,9 @@
 
 async function isReady(d: daemons.Daemon): Promise<boolean> {
   try {
-    const res = await undici.request(d.readiness, { signal: AbortSignal.timeout(ASK_MS) });
+    const res = await undici.request(d.readiness, {
+      signal: AbortSignal.timeout(PROBE_INTERVAL_MS),
+    });
     await res.body.dump();
     return res.statusCode === 200;
   } catch {
@@ -317,6 +321,6 @@
 }
 
 /** Whether the workers at a place `KIND-N` report their start time: those with an even `N` do. */
-function tellsStart(place: string): boolean {
+function reportsStart(place: string): boolean {
   return Number(place.split("-").at(-1)) % 2 === 0;
 }
--- a/bench/soak/teams.ts
+++ b/bench/soak/teams.ts
@@ -31,17 +31,17 @@
   revokeMs: 5000,
   quotaSlack: 2000,
 } as const;
-const OVERAGE = 0.1;
+const TOLERATED_OVERAGE = 0.1;
 const WINDOW_MS = 8000;
 const MS_PER_S = 1000;
 /** Milliseconds within which a change is in force on hosts that can reach the store. */
 const IN_FORCE_MS = 2000;
 
-const FREE = "news";
+const UNCAPPED = "news";
 const CAPPED = "sport";
 /** The cap while it is high and while it is low, in tokens a second; its burst is as many tokens. */
-const HIGH = 6000;
-const LOW = 600;
+const HIGH_CAP = 6000;
+const LOW_CAP = 600;
 /** Tokens of a request to an adapter (as its usage header and in sum), and of a call. */
 export const STREAM_USAGE = "200,40";
 const STREAM_TOKENS = 240;
@@ -58,16 +58,16 @@
     until: Infinity,
   });
   return {
-    keys: [FREE, CAPPED].flatMap((t) => [key(t, 1), key(t, 2)]),
-    caps: [{ perS: HIGH, at: now }],
+    keys: [UNCAPPED, CAPPED].flatMap((t) => [key(t, 1), key(t, 2)]),
+    caps: [{ perS: HIGH_CAP, at: now }],
   };
 }
 
 /** The teams as listed in a configuration document. */
 export function listed(t: Teams): readonly object[] {
-  const perS = t.caps.at(-1)?.perS ?? HIGH;
+  const perS = t.caps.at(-1)?.perS ?? HIGH_CAP;
   const cap = { unit: "token_rate", plainTokens: CALL_TOKENS, ratePerS: perS, burst: perS };
-  return [FREE, CAPPED].map((name) => ({
+  return [UNCAPPED, CAPPED].map((name) => ({
     name,
     apiKeys: t.keys.filter((k) => k.team === name && k.until === Infinity).map((k) => k.key),
     ...(name === CAPPED && cap),
@@ -84,13 +84,13 @@
 
 /** Switches the cap from high to low, or back. */
 export function toggleCap(t: Teams, now: number): void {
-  const perS = t.caps.at(-1)?.perS === HIGH ? LOW : HIGH;
+  const perS = t.caps.at(-1)?.perS === HIGH_CAP ? LOW_CAP : HIGH_CAP;
   t.caps.push({ perS, at: now });
 }
 
 /** Share of the requests with a valid key; share of the others with a revoked key, if there is one, not an unknown key. */
-const IN_FORCE = 0.88;
-const TAKEN_AWAY = 0.8;
+const VALID_KEY_SHARE = 0.88;
+const REVOKED_KEY_SHARE = 0.8;
 
 /** Draws the key for a request: valid, revoked or unknown. */
 export function keyFor(
@@ -99,8 +99,8 @@
 ): string {
   const over = t.keys.filter((k) => k.until < Infinity);
   const inForce = t.keys.filter((k) => k.until === Infinity);
-  if (draw.part() < IN_FORCE) return draw.one(inForce).key;
-  if (draw.part() < TAKEN_AWAY && over.length > 0) return draw.one(over).key;
+  if (draw.part() < VALID_KEY_SHARE) return draw.one(inForce).key;
+  if (draw.part() < REVOKED_KEY_SHARE && over.length > 0) return draw.one(over).key;
   return UNKNOWN;
 }
 
@@ -143,8 +143,8 @@
     const used = ran
       .filter((r) => r.sentAt >= from && r.at <= to)
       .reduce((sum, r) => sum + r.tokens, 0);
-    const perS = capBefore(t, from, to, outOfTouch);
-    const allowed = perS * (WINDOW_MS / MS_PER_S + 1) * (1 + OVERAGE) + BOUNDS.quotaSlack;
+    const perS = highestCap(t, from, to, outOfTouch);
+    const allowed = perS * (WINDOW_MS / MS_PER_S + 1) * (1 + TOLERATED_OVERAGE) + BOUNDS.quotaSlack;
     if (used <= allowed) return [];
     return [`cap: ${CAPPED} ran ${used} tokens in a window of ${Math.round(allowed)}`];
   });
@@ -154,7 +154,7 @@
  * The highest cap that may apply in a window. A lowered cap binds a window that starts after the cap is in force on all hosts
  * that can reach the store.
  */
-function capBefore(
+function highestCap(
   t: Teams,
   from: number,
   to: number,
