--- a/bench/platform/http.ts
+++ b/bench/platform/http.ts
@@ -17,8 +17,8 @@
 
 /** Reads a JSON body; an empty body yields an empty object. */
 export async function json(req: http.IncomingMessage): Promise<Body> {
-  const got = await text(req);
-  return got === "" ? {} : (JSON.parse(got) as Body);
+  const body = await text(req);
+  return body === "" ? {} : (JSON.parse(body) as Body);
 }
 
 /** Sends a JSON response. */
--- a/bench/platform/notices.ts
+++ b/bench/platform/notices.ts
@@ -49,7 +49,7 @@
     if (times.length === 0) return [];
     const lateMs = Math.round(s.at - Math.min(...times));
     return [
-      `leaving: ${a.id} reached ${a.instance} from ${s.entry}, which it had told ${lateMs} ms before`,
+      `leaving: ${a.id} reached ${a.instance} from ${s.entry}, ${lateMs} ms after that host had passed on that it leaves`,
     ];
   });
 }
--- a/bench/soak/caller.ts
+++ b/bench/soak/caller.ts
@@ -68,8 +68,8 @@
     client.once("disconnect", () => {
       ended.abort();
     });
-    const over = AbortSignal.any([ended.signal, signal]);
-    while (!over.aborted) {
+    const stopped = AbortSignal.any([ended.signal, signal]);
+    while (!stopped.aborted) {
       if (!(await sendRequest(w, client, to.name))) break;
       await timers.setTimeout(w.pauseMs());
     }
--- a/bench/soak/daemon.ts
+++ b/bench/soak/daemon.ts
@@ -136,7 +136,7 @@
     this.process?.kill("SIGTERM");
     const wasFrozen = this.isFrozen;
     const late = setTimeout(() => {
-      if (!wasFrozen) this.fault(`${this.plan.name} did not end within its grace`);
+      if (!wasFrozen) this.fault(`${this.plan.name} did not end within its grace period`);
       this.process?.kill("SIGKILL");
     }, GRACE_MS);
     const code = await exited;
--- a/bench/soak/history.ts
+++ b/bench/soak/history.ts
@@ -129,10 +129,13 @@
 
 const CHECKS: readonly Check[] = [
   function whole(s) {
-    if (s.end.kind === "broken" && !isBeginning(s, s.end.text)) return "got foreign bytes";
+    if (s.end.kind === "broken" && !isBeginning(s, s.end.text))
+      return "got bytes of another answer";
     if (s.end.kind !== "answer" || s.end.status !== 200) return undefined;
-    if (s.end.by === "") return "a success without a signature";
-    return isWhole(s, s.end.text) ? undefined : `not its whole answer: ${s.end.text.slice(0, 200)}`;
+    if (s.end.by === "") return "got status 200 without a worker's signature";
+    return isWhole(s, s.end.text)
+      ? undefined
+      : `got an incomplete or wrong answer: ${s.end.text.slice(0, 200)}`;
   },
   function once(s, runs) {
     const only = s.kind === "call_once" || s.kind === "stream_once";
@@ -147,13 +150,14 @@
   function notRun(s, runs) {
     if (s.end.kind !== "answer" || !NOT_RUN_STATUSES.has(s.end.status) || runs.length === 0)
       return undefined;
-    return `was told ${s.end.status}, and ran`;
+    return `was answered ${s.end.status} but ran`;
   },
   function version(s, runs, h) {
     const old = runs.find((r) => r.adapter !== "" && r.version < s.version);
     if (!old || outOfTouch(h, s.entry, s.sentAt - VERSION_MS, s.endedAt)) return undefined;
-    const there = (d: disturbances.Disturbance): boolean => old.instance.startsWith(`${d.on}.`);
-    if (disturbances.any(h.disturbances, s.sentAt - VERSION_MS, s.endedAt, there)) return undefined;
+    const isAtPlace = (d: disturbances.Disturbance): boolean => old.instance.startsWith(`${d.on}.`);
+    if (disturbances.any(h.disturbances, s.sentAt - VERSION_MS, s.endedAt, isAtPlace))
+      return undefined;
     return `ran on version ${old.version}, though ${s.version} was declared long before`;
   },
   function late(s, _runs, h) {
@@ -161,7 +165,7 @@
       return undefined;
     if (disturbances.any(h.disturbances, s.sentAt, s.endedAt, (d) => d.on === s.entry))
       return undefined;
-    return `had its answer after ${Math.round(s.endedAt - s.sentAt)} of ${s.waitMs} ms`;
+    return `ended after ${Math.round(s.endedAt - s.sentAt)} ms, with a deadline of ${s.waitMs} ms`;
   },
   function broken(s, runs, h) {
     if (s.end.kind !== "broken") return undefined;
@@ -173,28 +177,30 @@
       (d.on === s.entry && !PLANNED_WORK.test(d.kind)) || runs.some((r) => r.instance === d.on);
     return disturbances.any(h.disturbances, s.sentAt, s.endedAt, struck)
       ? undefined
-      : `was cut off: ${s.end.why}`;
+      : `was interrupted: ${s.end.why}`;
   },
   function route(s, runs, h) {
     const refused = s.end.kind === "answer" && s.end.status === 404;
-    if (STATIC_PATHS.has(s.path)) return refused ? "a route in force was denied" : undefined;
+    if (STATIC_PATHS.has(s.path)) return refused ? "got 404 for a static route" : undefined;
     const changes = h.changes.filter((c) => c.kind !== "leaving" && c.path === s.path);
     const pending = changes.some((c) => c.at >= s.sentAt - IN_FORCE_MS && c.at < s.endedAt);
     if (pending || outOfTouch(h, s.entry, s.sentAt - IN_FORCE_MS, s.endedAt)) return undefined;
     const added = changes.filter((c) => c.at < s.sentAt).at(-1)?.kind === "route_added";
-    if (added) return refused ? "an added route was denied" : undefined;
-    return runs.length > 0 ? "ran by a route that is not there" : undefined;
+    if (added) return refused ? "got 404 for an added route" : undefined;
+    return runs.length > 0 ? "ran on a route that does not exist" : undefined;
   },
   function time(s, runs) {
     const over = runs.find((r) => !(r.leftMs <= s.waitMs));
-    return over ? `a worker was told ${over.leftMs} of ${s.waitMs} ms` : undefined;
+    return over
+      ? `a worker was told a deadline of ${over.leftMs} ms instead of at most ${s.waitMs} ms`
+      : undefined;
   },
   function leaving(s, runs, h) {
     for (const c of h.changes) {
       if (c.kind !== "leaving") continue;
       const late = runs.find((r) => r.instance === c.instance && r.at > c.at + IN_FORCE_MS);
       if (late && !outOfTouch(h, s.entry, c.at, late.at))
-        return `reached ${c.instance}, which leaves`;
+        return `ran on ${c.instance}, which was leaving`;
     }
     return undefined;
   },
@@ -211,7 +217,7 @@
       disturbances.any(h.disturbances, s.sentAt, s.endedAt + CANCEL_MS, (d) => parts.has(d.on))
     )
       return undefined;
-    return `left, and ${on.instance} worked on`;
+    return `caller disconnected, but ${on.instance} kept working`;
   },
 ];
 
@@ -228,9 +234,11 @@
     const late = h.seen.filter(
       (s) => s.body === body && !outOfTouch(h, s.entry, s.sentAt - CONTACT_MS, s.endedAt),
     );
-    const sends = late.flatMap((s) => runs.get(s.id) ?? []).filter((r) => r.at > knownAt);
-    if (sends.length <= TOLERATED_SENDS) return [];
-    return [`fatal: ${body} was sent ${sends.length} times more; ${crashes.length} workers ended`];
+    const extraSends = late.flatMap((s) => runs.get(s.id) ?? []).filter((r) => r.at > knownAt);
+    if (extraSends.length <= TOLERATED_SENDS) return [];
+    return [
+      `fatal: ${body} was sent ${extraSends.length} more times; it crashed ${crashes.length} workers`,
+    ];
   });
 }
 
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -58,9 +58,9 @@
     part,
     between: (min, max) => min + part() * (max - min),
     one: (list) => {
-      const got = list[Math.floor(part() * list.length)];
-      if (got === undefined) throw new RangeError("cannot draw from an empty list");
-      return got;
+      const element = list[Math.floor(part() * list.length)];
+      if (element === undefined) throw new RangeError("cannot draw from an empty list");
+      return element;
     },
   };
 }
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -74,11 +74,11 @@
     far.setNoDelay(true);
     void this.pump(near, far, "requests");
     void this.pump(far, near, "answers");
-    const over = (): void => {
+    const remove = (): void => {
       this.pairs.delete(pair);
     };
-    near.once("close", over);
-    far.once("close", over);
+    near.once("close", remove);
+    far.once("close", remove);
   }
 
   private isHeld(which: "requests" | "answers"): boolean {
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -139,8 +139,8 @@
     const extra = kind === "call" && draw.part() < 0.3;
     const path = extra ? draw.one(faults.PATHS) : PATH_OF[kind];
     const leaving = adapter === site.SLOW_ADAPTER ? SLOW_DISCONNECT_SHARE : DISCONNECT_SHARE;
-    const sure = performance.now() - history.VERSION_MS;
-    const versions = declared.filter((d) => d.adapter === adapter && d.at < sure);
+    const inForceBefore = performance.now() - history.VERSION_MS;
+    const versions = declared.filter((d) => d.adapter === adapter && d.at < inForceBefore);
     return {
       kind,
       adapter,
@@ -270,15 +270,15 @@
 /** Makes the operator's changes of API keys and of a cap, until `until`. */
 async function changeTeams(
   s: site.Site,
-  given: teams.Teams,
+  teamState: teams.Teams,
   draw: Draw,
   until: number,
 ): Promise<void> {
   while (performance.now() < until) {
     await timers.setTimeout(draw.between(...TEAM_CHANGE_INTERVAL_MS));
     const now = performance.now();
-    if (draw.part() < CAP_SHARE) teams.toggleCap(given, now);
-    else teams.rotate(given, draw.one, now);
+    if (draw.part() < CAP_SHARE) teams.toggleCap(teamState, now);
+    else teams.rotate(teamState, draw.one, now);
     s.configure();
   }
 }
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -136,7 +136,7 @@
 
   /** Adds a route for calls, or removes it if it exists. Returns whether it exists now. */
   toggle(prefix: string): boolean {
-    const there = this.extra.some((r) => r.prefix === prefix);
+    const exists = this.extra.some((r) => r.prefix === prefix);
     const route: documents.Route = {
       name: prefix,
       prefix,
@@ -144,8 +144,8 @@
       service: PLAIN,
       attempts: 2,
     };
-    this.configure(there ? this.extra.filter((r) => r.prefix !== prefix) : [...this.extra, route]);
-    return !there;
+    this.configure(exists ? this.extra.filter((r) => r.prefix !== prefix) : [...this.extra, route]);
+    return !exists;
   }
 
   /** Declares a new version of an adapter, and returns it. */
--- a/bench/soak/teams.ts
+++ b/bench/soak/teams.ts
@@ -97,10 +97,10 @@
   t: Teams,
   draw: { readonly part: () => number; readonly one: <T>(list: readonly T[]) => T },
 ): string {
-  const over = t.keys.filter((k) => k.until < Infinity);
-  const inForce = t.keys.filter((k) => k.until === Infinity);
-  if (draw.part() < VALID_KEY_SHARE) return draw.one(inForce).key;
-  if (draw.part() < REVOKED_KEY_SHARE && over.length > 0) return draw.one(over).key;
+  const revoked = t.keys.filter((k) => k.until < Infinity);
+  const valid = t.keys.filter((k) => k.until === Infinity);
+  if (draw.part() < VALID_KEY_SHARE) return draw.one(valid).key;
+  if (draw.part() < REVOKED_KEY_SHARE && revoked.length > 0) return draw.one(revoked).key;
   return UNKNOWN;
 }
 
@@ -113,14 +113,14 @@
   const key = t.keys.find((k) => k.key === s.key);
   const foreign = runs.find((r) => r.team !== key?.team);
   if (foreign) return `ran for ${foreign.team ?? "no team"}, with a key of ${key?.team ?? "none"}`;
-  if (runs.some((r) => r.sawKey)) return "its worker was shown its key";
+  if (runs.some((r) => r.sawKey)) return "its API key was forwarded to a worker";
   if (!key) return undefined;
   if (runs.length > 0 && s.sentAt > key.until + BOUNDS.revokeMs) {
-    return `ran ${Math.round(s.sentAt - key.until)} ms after its key was taken away`;
+    return `ran ${Math.round(s.sentAt - key.until)} ms after its key was revoked`;
   }
   const denied = s.end.kind === "answer" && s.end.status === 401;
   if (denied && key.from + IN_FORCE_MS < s.sentAt && key.until > s.endedAt) {
-    return "its key was denied, which is in force";
+    return "got 401 with a valid key";
   }
   return undefined;
 }
@@ -146,7 +146,7 @@
     const perS = highestCap(t, from, to, outOfTouch);
     const allowed = perS * (WINDOW_MS / MS_PER_S + 1) * (1 + TOLERATED_OVERAGE) + BOUNDS.quotaSlack;
     if (used <= allowed) return [];
-    return [`cap: ${CAPPED} ran ${used} tokens in a window of ${Math.round(allowed)}`];
+    return [`cap: ${CAPPED} ran ${used} tokens in a window, ${Math.round(allowed)} allowed`];
   });
 }
 
