--- a/test/ports.test.ts
+++ b/test/ports.test.ts
@@ -5,7 +5,7 @@
 const { expect } = chai;
 
 const DRAWS = 200;
-/** Linux's lowest ephemeral port by default, one that the system gives to sockets which bind to port 0. */
+/** Lowest ephemeral port by Linux's default. The system gives these to sockets that bind to port 0. */
 const EPHEMERAL = 32_768;
 
 describe("findFree", () => {
