--- a/bench/soak/daemon.ts
+++ b/bench/soak/daemon.ts
@@ -17,8 +17,9 @@
 
 /** Milliseconds that a daemon has between SIGTERM and SIGKILL. */
 export const GRACE_MS = 5000;
-/** Milliseconds after which no more requests may be sent to a leaving worker, as set in the daemons' settings. */
+/** Milliseconds after which a worker that announced that it leaves may get no more requests; sets `drainTimeoutMs`. */
 export const DRAIN_MS = 2000;
+/** Bounds in the daemons' settings. */
 const BOUNDS = {
   graceS: GRACE_MS / 1000,
   drainTimeoutMs: DRAIN_MS,
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -124,7 +124,7 @@
       }
       if (await this.mayPass(which, to)) to.end();
     } catch {
-      // A reset on one side is passed on as a reset on the other.
+      // A reset on one side is passed on as a reset on the other, since resets are a fault that this proxy must reproduce.
       to.resetAndDestroy();
     }
   }
