--- a/bench/platform/ports.ts
+++ b/bench/platform/ports.ts
@@ -1,15 +1,18 @@
 /**
- * Ports for tests and the soak, each given out once by a process.
+ * Finds free ports for tests and the soak. A process gives out each port once, until the range is used up.
  * @module
  */
 import * as net from "node:net";
 
-/** Below those that the system gives to sockets which name none, so that none of these can take one. */
-const FIRST = 20_000;
-const LAST = 32_000;
+/**
+ * Range of ports, with the last one excluded. It lies below the ephemeral ports, which the system gives to sockets that
+ * bind to port 0, so that no such socket can take one of them.
+ */
+const FIRST_PORT = 20_000;
+const END_PORT = 32_000;
 
-/** Where this process goes on; processes that run side by side begin at different places. */
-let next = FIRST + Math.floor(Math.random() * (LAST - FIRST));
+/** The next port to try. It starts at random, so that processes that run side by side try different ports. */
+let nextPort = FIRST_PORT + Math.floor(Math.random() * (END_PORT - FIRST_PORT));
 
 function isFree(ip: string, port: number): Promise<boolean> {
   const server = net.createServer();
@@ -25,11 +28,11 @@
   });
 }
 
-/** A port of `ip` on which nothing listens and that this process has not given out before. */
+/** A port of `ip` on which nothing listens and that this process has not given out before. Throws if there is none. */
 export async function free(ip = "127.0.0.1"): Promise<number> {
-  for (let tried = FIRST; tried < LAST; tried++) {
-    const port = next;
-    next = port + 1 < LAST ? port + 1 : FIRST;
+  for (let tried = FIRST_PORT; tried < END_PORT; tried++) {
+    const port = nextPort;
+    nextPort = port + 1 < END_PORT ? port + 1 : FIRST_PORT;
     if (await isFree(ip, port)) return port;
   }
   throw new Error(`no port of ${ip} is free`);
--- a/bench/soak/daemon.ts
+++ b/bench/soak/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon as a process of its own: its settings file, its log, and the signals it gets.
+ * Runs one daemon as a process: its settings file, its log, and the signals it gets.
  * @module
  */
 import * as child from "node:child_process";
@@ -9,12 +9,17 @@
 import * as script from "../../deploy/script.cjs";
 import * as teams from "./teams.js";
 
-/** What all entry daemons together may retry of the requests for a service: a part of them, and some besides. */
+/**
+ * Retry budget of all entry daemons together: in a window of `windowS` seconds, they may retry the share `ratio` of the
+ * requests for a service, and `slack` requests more.
+ */
 export const RETRIES = { ratio: 0.2, slack: 58, windowS: 10 };
 
-/** Milliseconds from SIGTERM to SIGKILL, and of the other bounds that the daemons are told. */
+/** Milliseconds that a daemon has between SIGTERM and SIGKILL. */
 export const GRACE_MS = 5000;
+/** Milliseconds after which a worker that announced that it leaves may get no more requests; sets `drainTimeoutMs`. */
 export const DRAIN_MS = 2000;
+/** Bounds in the daemons' settings. */
 const BOUNDS = {
   graceS: GRACE_MS / 1000,
   drainTimeoutMs: DRAIN_MS,
@@ -25,39 +30,40 @@
   ...teams.BOUNDS,
 };
 
-/** Where a daemon runs and whom it meets. */
+/** Addresses and ports of a daemon and of the parts it talks to. */
 export interface Plan {
   readonly name: string;
   readonly role: "entry" | "endpoint";
   readonly ip: string;
   readonly seatPort: number;
   readonly store: string;
-  /** Callers' and readiness port of an entry daemon. */
+  /** Ports of an entry daemon for callers and for readiness checks. */
   readonly ports?: readonly [number, number];
   /** Address of the engine beside an endpoint daemon. */
   readonly engine?: string;
   readonly service?: string;
 }
 
+/** An entry or endpoint daemon, which can be started again after its end. */
 export class Daemon {
   private process: child.ChildProcess | undefined;
   private readonly file: string;
   private readonly log: number;
-  /** It was told to end. */
-  private expected = false;
-  /** It was frozen while it was to end. */
-  private frozen = false;
+  /** Whether it was told to end. */
+  private isExpectedToEnd = false;
+  /** Whether it is frozen; a frozen daemon cannot stop within its grace period. */
+  private isFrozen = false;
 
   constructor(
     readonly plan: Plan,
     private readonly main: string,
     folder: string,
-    /** It ended by itself, or not as it should. */
+    /** Called when it ended by itself, or wrongly after it was told to. */
     private readonly fault: (what: string) => void,
   ) {
     this.file = path.join(folder, `${plan.name}.yaml`);
     this.log = fs.openSync(path.join(folder, `${plan.name}.log`), "a");
-    this.write();
+    this.writeSettings();
   }
 
   get callers(): string {
@@ -73,7 +79,7 @@
   }
 
   /** Writes the settings file. */
-  private write(): void {
+  private writeSettings(): void {
     const { name, ip, seatPort, store, ports, engine, service } = this.plan;
     const listen = ports && { front: `${ip}:${ports[0]}`, ready: `${ip}:${ports[1]}` };
     const settings = {
@@ -90,10 +96,10 @@
     fs.writeFileSync(this.file, yaml.stringify(settings));
   }
 
-  /** Starts it, unless another trouble's end did so before. */
+  /** Starts it, unless it runs already, as when the end of another fault has started it. */
   start(): void {
     if (this.process) return;
-    this.expected = false;
+    this.isExpectedToEnd = false;
     const env = {
       ...process.env,
       SUMACFIELD_CONFIG: this.file,
@@ -106,53 +112,53 @@
     this.process = started;
     started.once("exit", (code, signal) => {
       if (this.process === started) this.process = undefined;
-      if (!this.expected) this.fault(`${this.plan.name} ended by itself: ${code ?? signal}`);
+      if (!this.isExpectedToEnd) this.fault(`${this.plan.name} ended by itself: ${code ?? signal}`);
     });
   }
 
-  private async gone(): Promise<number | null> {
+  private async untilExit(): Promise<number | null> {
     const at = this.process;
     if (!at) return null;
     return new Promise((resolve) => at.once("exit", resolve));
   }
 
-  /** Kills it at once. */
+  /** Kills it with SIGKILL, and resolves once it has ended. */
   async kill(): Promise<void> {
-    this.expected = true;
-    const gone = this.gone();
+    this.isExpectedToEnd = true;
+    const exited = this.untilExit();
     this.process?.kill("SIGKILL");
-    await gone;
+    await exited;
   }
 
-  /** Asks it to stop; it has its grace to do so. */
+  /** Stops it with SIGTERM, and kills it if it does not end within {@link GRACE_MS}. */
   async stop(): Promise<void> {
-    this.expected = true;
-    const gone = this.gone();
+    this.isExpectedToEnd = true;
+    const exited = this.untilExit();
     this.process?.kill("SIGTERM");
-    const wasFrozen = this.frozen;
+    const wasFrozen = this.isFrozen;
     const late = setTimeout(() => {
-      if (!wasFrozen) this.fault(`${this.plan.name} did not end within its grace`);
+      if (!wasFrozen) this.fault(`${this.plan.name} did not end within its grace period`);
       this.process?.kill("SIGKILL");
     }, GRACE_MS);
-    const code = await gone;
+    const code = await exited;
     clearTimeout(late);
     if (code !== 0 && code !== null) this.fault(`${this.plan.name} ended with status ${code}`);
   }
 
-  /** Stops it where it is, and lets it go on. */
+  /** Suspends the process until {@link thaw}. */
   freeze(): void {
-    this.frozen = true;
+    this.isFrozen = true;
     this.process?.kill("SIGSTOP");
   }
 
   thaw(): void {
-    this.frozen = false;
+    this.isFrozen = false;
     this.process?.kill("SIGCONT");
   }
 
-  /** Tells it that its settings changed. */
+  /** Writes its settings again and makes it reload them, with SIGHUP. */
   reload(): void {
-    this.write();
+    this.writeSettings();
     this.process?.kill("SIGHUP");
   }
 
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak -- --seed N --minutes M`: real daemons under random troubles, with every promise of
- * the pages checked from what callers and workers saw. Exit 1 when one was broken.
+ * `npm run soak -- --seed N --minutes M`: runs real daemons under random faults and checks every documented promise
+ * against what callers and workers observed. Exits with status 1 if a promise was broken.
  * @module
  */
 import * as fs from "node:fs";
@@ -19,12 +19,12 @@
     npm run soak -- [--seed 1] [--seeds 1] [--minutes 0.4]
 
   Options
-    --seed     first seed; the same one draws the same troubles
-    --seeds    how many seeds to run, one after the other
-    --minutes  how long each runs
-    --entries, --engines, --plain, --callers  the size of the site
-    --regressions  run the seeds that ever failed instead
-    --main     the daemons' program
+    --seed     first seed; the same seed draws the same faults
+    --seeds    number of seeds to run, one after the other
+    --minutes  length of each run
+    --entries, --engines, --plain, --callers  number of each in the site
+    --regressions  run the seeds that have ever failed instead
+    --main     the program that starts a daemon
     --out      folder for the daemons' logs and the record of each run
 `,
   {
@@ -47,24 +47,25 @@
 
 const MS_PER_MINUTE = 60_000;
 
-/** Seeds of the draws of one run lie this far apart from those of another. */
-const DRAWS = 16;
+/** Number of random sequences reserved for each seed. */
+const SEQUENCES_PER_SEED = 16;
 
-/** The `n`th row of draws from a seed. */
-function drawing(seed: number, n: number): run.Draw {
-  const rng = generators.xoroshiro128plus(seed * DRAWS + n);
+/** The `n`th random sequence of a seed. */
+function createDraw(seed: number, n: number): run.Draw {
+  const rng = generators.xoroshiro128plus(seed * SEQUENCES_PER_SEED + n);
   const part = (): number => uniform.uniformFloat64(rng);
   return {
     part,
     between: (min, max) => min + part() * (max - min),
     one: (list) => {
-      const got = list[Math.floor(part() * list.length)];
-      if (got === undefined) throw new RangeError("there is nothing to draw from");
-      return got;
+      const element = list[Math.floor(part() * list.length)];
+      if (element === undefined) throw new RangeError("cannot draw from an empty list");
+      return element;
     },
   };
 }
 
+/** Prints a table of how often each word occurs. */
 function tally(title: string, words: readonly string[]): void {
   const counts = new Map<string, number>();
   for (const w of words) counts.set(w, (counts.get(w) ?? 0) + 1);
@@ -72,13 +73,13 @@
   command.printLine(command.formatTable([[title, "TIMES"], ...rows]));
 }
 
-const { seed: first, seeds, minutes: usual } = cli.flags;
+const { seed: firstSeed, seeds, minutes: defaultMinutes } = cli.flags;
 const runs = cli.flags.regressions
   ? regressions.REGRESSIONS
-  : Array.from({ length: seeds }, (_, i) => ({ seed: first + i, minutes: usual }));
+  : Array.from({ length: seeds }, (_, i) => ({ seed: firstSeed + i, minutes: defaultMinutes }));
 const endings: string[] = [];
-const troubles: string[] = [];
-let broken = 0;
+const faultKinds: string[] = [];
+let violationCount = 0;
 for (const { seed, minutes } of runs) {
   const folder = path.join(cli.flags.out, `seed-${seed}`);
   fs.rmSync(folder, { recursive: true, force: true });
@@ -87,22 +88,22 @@
     size: cli.flags,
     callers: cli.flags.callers,
     ms: minutes * MS_PER_MINUTE,
-    draw: (n) => drawing(seed, n),
+    draw: (n) => createDraw(seed, n),
     main: cli.flags.main,
     folder,
   });
   fs.writeFileSync(path.join(folder, "history.json"), JSON.stringify(h));
   const found = history.violations(h);
-  broken += found.length;
+  violationCount += found.length;
   endings.push(...h.seen.map((s) => `${s.kind} ${history.ending(s)}`));
-  troubles.push(...h.disturbances.map((d) => d.kind));
+  faultKinds.push(...h.disturbances.map((d) => d.kind));
   command.printLine(
-    `seed ${seed}: ${h.seen.length} requests, ${h.disturbances.length} troubles, ` +
+    `seed ${seed}: ${h.seen.length} requests, ${h.disturbances.length} disturbances, ` +
       `${found.length} violations`,
   );
   for (const line of found.slice(0, 20)) command.printLine(`  ${line}`);
 }
 tally("KIND AND ENDING", endings);
-tally("TROUBLE", troubles);
-command.printLine(`Requests: ${endings.length}. Violations: ${broken}.`);
-process.exit(broken === 0 ? 0 : 1);
+tally("DISTURBANCE", faultKinds);
+command.printLine(`Requests: ${endings.length}. Violations: ${violationCount}.`);
+process.exit(violationCount === 0 ? 0 : 1);
--- a/bench/soak/notices.ts
+++ b/bench/soak/notices.ts
@@ -1,5 +1,6 @@
 /**
- * Whether workers that named a limit, left or asked for a pause got requests against the platform's rules, and what excuses it.
+ * Checks whether workers that announced a limit, left or asked for a pause got requests against the platform's rules that
+ * no disturbance excuses.
  * @module
  */
 import type * as journals from "../platform/journal.js";
@@ -9,7 +10,7 @@
 import * as disturbances from "./disturbances.js";
 import type * as history from "./history.js";
 
-/** Every broken rule, a line each. */
+/** One line for each broken rule. */
 export function violations(h: history.History): readonly string[] {
   const { arrivals } = h.kept;
   const sent = new Map(h.seen.map((s) => [s.id, { entry: s.entry, at: s.sentAt }]));
@@ -19,9 +20,9 @@
       : [],
   );
   return [
-    ...limits.beyond(arrivals, (a) => isBound(h, a)),
+    ...limits.beyond(arrivals, (a) => countsAgainstLimit(h, a)),
     ...notices.reachedLeaving(arrivals, sent, told, daemons.DRAIN_MS, (entry, _by, from, to) =>
-      servesOn(h, entry, from, to),
+      ranThroughout(h, entry, from, to),
     ),
     ...notices.reachedPaused(arrivals, sent, (entry, by, from, to) => {
       const parts = new Set([entry, disturbances.placeOf(by)]);
@@ -30,13 +31,13 @@
   ];
 }
 
-/** Whether an entry daemon's process went on from one moment to another: it was not ended, and did not stand still. */
-function servesOn(h: history.History, entry: string, from: number, to: number): boolean {
+/** Whether an entry daemon's process ran without interruption between two times: it was not ended or frozen. */
+function ranThroughout(h: history.History, entry: string, from: number, to: number): boolean {
   return !h.disturbances.some((d) => d.on === entry && d.from < to && d.to > from);
 }
 
-/** Whether an arrival counts against its worker's limit: its host had passed the limit on, and nothing excuses it. */
-function isBound(h: history.History, a: journals.Arrival): boolean {
+/** Whether an arrival counts against its worker's limit: its entry host had passed the limit on, and nothing excuses it. */
+function countsAgainstLimit(h: history.History, a: journals.Arrival): boolean {
   const entry = h.seen.find((s) => s.id === a.id)?.entry;
   if (entry === undefined) return false;
   const parts = new Set([entry, disturbances.placeOf(a.instance)]);
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -1,38 +1,38 @@
 /**
- * A loopback proxy on one address, through which connections are delayed, reset, silenced or cut in
- * one direction.
+ * A loopback TCP proxy that can delay connections, reset them, or hold their bytes in one direction or both.
  * @module
  */
 import * as timers from "node:timers/promises";
 import * as net from "node:net";
 
-/** What happens to the bytes of a link. */
+/** Fault of a link. */
 export type Trouble =
   | { readonly kind: "none" }
-  /** Each part is held back so long. */
+  /** Each chunk is delayed by `ms` milliseconds. */
   | { readonly kind: "delay"; readonly ms: number }
-  /** Nothing passes, new connections included. */
+  /** No bytes pass, on new connections neither. */
   | { readonly kind: "silence" }
-  /** Only what the server sends, or only what the client sends, is held. */
+  /** Only the client's bytes or only the server's bytes are held. */
   | { readonly kind: "one_way"; readonly hold: "requests" | "answers" };
 
+/** A client's connection to the proxy (`near`) and the proxy's connection to the target (`far`). */
 interface Pair {
   readonly near: net.Socket;
   readonly far: net.Socket;
 }
 
-/** Passes connections to one port on to another address. */
+/** Forwards connections from one port to another address. */
 export class Proxy {
-  private trouble: Trouble = { kind: "none" };
+  private fault: Trouble = { kind: "none" };
   private readonly pairs = new Set<Pair>();
-  private readonly resumed = new Set<() => void>();
+  private readonly resumeListeners = new Set<() => void>();
   private readonly server = net.createServer((near) => {
-    this.pass(near);
+    this.accept(near);
   });
 
   constructor(private target: () => string) {}
 
-  /** Takes connections at `host`; on `port`, or a free one. It may be stopped and started again. */
+  /** Listens on `host` at `port`; port 0 picks a free one. A stopped proxy may be started again. */
   async start(host: string, port = 0): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once("error", reject);
@@ -41,7 +41,7 @@
     return `${host}:${(this.server.address() as net.AddressInfo).port}`;
   }
 
-  /** Refuses connections, as a host does on a port that nobody listens on, and ends those that stand. */
+  /** Closes the port, so that new connections are refused, and closes the existing connections. */
   stop(): void {
     this.server.close();
     for (const p of this.pairs) {
@@ -50,12 +50,13 @@
     }
   }
 
-  set(trouble: Trouble): void {
-    this.trouble = trouble;
-    for (const go of this.resumed) go();
+  /** Sets the fault of the link, for existing and new connections. */
+  set(fault: Trouble): void {
+    this.fault = fault;
+    for (const go of this.resumeListeners) go();
   }
 
-  /** Resets a part of the connections. */
+  /** Resets a random share of the connections. */
   reset(part: number, random: () => number): void {
     for (const p of this.pairs) {
       if (random() >= part) continue;
@@ -64,7 +65,7 @@
     }
   }
 
-  private pass(near: net.Socket): void {
+  private accept(near: net.Socket): void {
     const [host, port] = this.target().split(":");
     const far = net.connect({ host, port: Number(port) });
     const pair = { near, far };
@@ -73,15 +74,15 @@
     far.setNoDelay(true);
     void this.pump(near, far, "requests");
     void this.pump(far, near, "answers");
-    const over = (): void => {
+    const remove = (): void => {
       this.pairs.delete(pair);
     };
-    near.once("close", over);
-    far.once("close", over);
+    near.once("close", remove);
+    far.once("close", remove);
   }
 
-  private held(which: "requests" | "answers"): boolean {
-    const t = this.trouble;
+  private isHeld(which: "requests" | "answers"): boolean {
+    const t = this.fault;
     switch (t.kind) {
       case "silence":
         return true;
@@ -93,24 +94,24 @@
     }
   }
 
-  /** Waits until bytes of one direction may pass; false once the connection is over. */
+  /** Waits until bytes of one direction may pass. Returns false if the connection closes first. */
   private async mayPass(which: "requests" | "answers", socket: net.Socket): Promise<boolean> {
-    if (this.trouble.kind === "delay") await timers.setTimeout(this.trouble.ms);
-    while (this.held(which) && !socket.destroyed) {
+    if (this.fault.kind === "delay") await timers.setTimeout(this.fault.ms);
+    while (this.isHeld(which) && !socket.destroyed) {
       await new Promise<void>((resolve) => {
         const go = (): void => {
-          this.resumed.delete(go);
+          this.resumeListeners.delete(go);
           socket.off("close", go);
           resolve();
         };
-        this.resumed.add(go);
+        this.resumeListeners.add(go);
         socket.once("close", go);
       });
     }
     return !socket.destroyed;
   }
 
-  /** Passes one direction on, with its end or its reset. */
+  /** Forwards one direction, including its end or its reset. */
   private async pump(
     from: net.Socket,
     to: net.Socket,
@@ -123,7 +124,7 @@
       }
       if (await this.mayPass(which, to)) to.end();
     } catch {
-      // A reset on one side is a reset on the other; that is the trouble this proxy is for.
+      // A reset on one side is passed on as a reset on the other, since resets are a fault that this proxy must reproduce.
       to.resetAndDestroy();
     }
   }
--- a/bench/soak/retries.ts
+++ b/bench/soak/retries.ts
@@ -1,5 +1,6 @@
 /**
- * Whether all entry daemons together kept to the retry budget, from what callers sent and what reached workers.
+ * Checks whether all entry daemons together kept to the retry budget, by comparing the requests that callers sent with
+ * those that reached workers.
  * @module
  */
 import type * as journals from "../platform/journal.js";
@@ -7,19 +8,22 @@
 import * as daemons from "./daemon.js";
 
 const MS_PER_S = 1000;
-const BOUNDS: rule.Bounds = {
+const BUDGET: rule.Bounds = {
   windowMs: daemons.RETRIES.windowS * MS_PER_S,
   ratio: daemons.RETRIES.ratio,
   slack: daemons.RETRIES.slack,
 };
 
-/** A request for a service, and the monotonic ms at which its caller sent it. */
+/** A request to a service, and the monotonic time in ms at which its caller sent it. */
 export interface Sent {
   readonly service: string;
   readonly at: number;
 }
 
-/** Every service that got more arrivals beyond the first of each request than allowed in some window, a line each. */
+/**
+ * One line for each service that got too many retries in some window. Every arrival of a request after its first counts as a
+ * retry.
+ */
 export function beyondBudget(
   sent: readonly Sent[],
   arrivals: readonly journals.Arrival[],
@@ -28,20 +32,20 @@
   return services.flatMap((service) => {
     const own = sent.filter((s) => s.service === service);
     const times = own.map((s) => s.at).sort((a, b) => a - b);
-    const further = beyondFirst(arrivals.filter((a) => a.service === service));
-    const worst = rule.worst(times, further, BOUNDS);
+    const further = retryTimes(arrivals.filter((a) => a.service === service));
+    const worst = rule.worst(times, further, BUDGET);
     if (!worst || worst.retries <= worst.allowed) return [];
-    const counts = `${worst.retries} retries in ${BOUNDS.windowMs} ms, allowed ${worst.allowed}`;
+    const counts = `${worst.retries} retries in ${BUDGET.windowMs} ms, allowed ${worst.allowed}`;
     return [`retries: ${service} got ${counts}`];
   });
 }
 
-/** When requests reached a worker again that had reached one before. */
-function beyondFirst(arrivals: readonly journals.Arrival[]): readonly number[] {
-  const known = new Set<string>();
+/** Times at which a request reached a worker after it had reached one before. */
+function retryTimes(arrivals: readonly journals.Arrival[]): readonly number[] {
+  const seenIds = new Set<string>();
   return arrivals.flatMap((a) => {
-    const isFirst = !known.has(a.id);
-    known.add(a.id);
+    const isFirst = !seenIds.has(a.id);
+    seenIds.add(a.id);
     return isFirst ? [] : [a.at];
   });
 }
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -1,6 +1,6 @@
 /**
  * A site on loopback: real entry and endpoint daemons as processes, stand-ins for the store and the
- * workers, a proxy on every link between them, and a balancer's view of the entry daemons.
+ * workers, a proxy on every link between them, and a load balancer's view of the entry daemons.
  * @module
  */
 import * as undici from "undici";
@@ -17,16 +17,16 @@
 export const PLAIN = "guide";
 /** Milliseconds between two events of a stream. */
 const EVENT_MS = 20;
-/** An adapter whose streams last long, so that there is time for a caller to leave. */
+/** An adapter whose streams take long, so that callers have time to disconnect. */
 export const SLOW_ADAPTER = "a14";
 const SLOW_EVENT_MS = 300;
-/** Slots of an engine. */
+/** Number of adapter slots of an engine. */
 const SLOTS = 3;
-/** Milliseconds after which a worker is back that a request has ended. */
+/** Milliseconds after which a worker that a request has crashed starts again. */
 export const BACK_MS = 1500;
-/** Milliseconds between the balancer's questions, and misses after which it goes elsewhere. */
-const ASK_MS = 1000;
-const MISSES = 2;
+/** Milliseconds between the load balancer's readiness checks, and failed checks in a row after which it drops a daemon. */
+const PROBE_INTERVAL_MS = 1000;
+const MAX_FAILED_PROBES = 2;
 
 const ROUTES: readonly documents.Route[] = [
   { name: "s", prefix: "/s/", kind: "streaming", service: ENGINES, attempts: 2, resumable: true },
@@ -41,18 +41,19 @@
   readonly plain: number;
 }
 
-/** One worker with what stands before and beside it. */
+/** The place of a worker, whose worker changes with each start, with the proxies before it. */
 export interface Place<W extends workers.Engine | workers.Plain = workers.Engine | workers.Plain> {
   readonly name: string;
   worker: W;
-  /** Before the worker itself. */
+  /** Proxy before the worker. */
   readonly proxy: proxies.Proxy;
-  /** Before the endpoint daemon; plain workers have none. */
+  /** Proxy before the endpoint daemon; plain workers have none. */
   readonly seats: proxies.Proxy | undefined;
-  /** Where entry daemons reach it. */
+  /** Address at which entry daemons reach the worker. */
   readonly address: string;
 }
 
+/** All parts of a run but the callers. */
 export class Site {
   readonly store = new stores.Store();
   readonly kept = journals.journal();
@@ -60,17 +61,17 @@
   readonly places: Place[] = [];
   readonly entries: daemons.Daemon[] = [];
   readonly endpoints: daemons.Daemon[] = [];
-  /** The proxy before the store for each daemon, by its name. */
+  /** Each daemon's proxy before the store, by the daemon's name. */
   readonly storeLinks = new Map<string, proxies.Proxy>();
   private extra: readonly documents.Route[] = [];
   private version = 0;
   private started = 0;
-  private readonly misses = new Map<string, number>();
+  private readonly failedProbes = new Map<string, number>();
   private timer: NodeJS.Timeout | undefined;
   private readonly leaving = new Set<string>();
   private hosts = 0;
   private stopped = false;
-  /** Called when a request has ended a worker. */
+  /** Called when a request has crashed a worker. */
   ended: (instance: string) => void = () => undefined;
 
   constructor(
@@ -78,11 +79,11 @@
     private readonly main: string,
     private readonly folder: string,
     private readonly fault: (what: string) => void,
-    /** Whose keys requests must carry; left out where they need none. */
+    /** Teams whose API keys requests must carry; left out if requests need none. */
     private readonly teams?: teams.Teams,
   ) {}
 
-  /** An address of its own for one host. The process's id keeps runs apart. */
+  /** A new loopback address for one host. It contains the process id, so that concurrent runs do not collide. */
   private ip(): string {
     this.hosts++;
     const n = process.pid % 50_000;
@@ -97,7 +98,7 @@
     for (let i = 0; i < this.size.plain; i++) await this.addPlain(i);
     for (let i = 0; i < this.size.entries; i++) await this.addEntry(i, seatPort);
     for (const d of [...this.endpoints, ...this.entries]) d.start();
-    this.timer = setInterval(() => void this.askAll(), ASK_MS);
+    this.timer = setInterval(() => void this.probeAll(), PROBE_INTERVAL_MS);
     await this.untilReady();
   }
 
@@ -117,7 +118,7 @@
     this.store.stop();
   }
 
-  /** Puts a configuration in force with the usual routes and `extra` ones. */
+  /** Writes a new configuration with the static routes and the `extra` ones. */
   configure(extra: readonly documents.Route[] = this.extra): void {
     this.extra = extra;
     this.version += 1 + (this.version % 3);
@@ -133,9 +134,9 @@
     );
   }
 
-  /** Adds or takes away a route for calls; whether it is there now. */
+  /** Adds a route for calls, or removes it if it exists. Returns whether it exists now. */
   toggle(prefix: string): boolean {
-    const there = this.extra.some((r) => r.prefix === prefix);
+    const exists = this.extra.some((r) => r.prefix === prefix);
     const route: documents.Route = {
       name: prefix,
       prefix,
@@ -143,11 +144,11 @@
       service: PLAIN,
       attempts: 2,
     };
-    this.configure(there ? this.extra.filter((r) => r.prefix !== prefix) : [...this.extra, route]);
-    return !there;
+    this.configure(exists ? this.extra.filter((r) => r.prefix !== prefix) : [...this.extra, route]);
+    return !exists;
   }
 
-  /** Declares a new version of an adapter. */
+  /** Declares a new version of an adapter, and returns it. */
   declare(adapter: string): number {
     const version = (this.newest.get(adapter) ?? 1) + 1;
     this.newest.set(adapter, version);
@@ -156,14 +157,14 @@
     return version;
   }
 
-  /** Writes a worker's entry. */
+  /** Writes a worker's entry to the store. */
   register(p: Place): void {
     const { service, instance, name, born } = p.worker;
     const state = this.leaving.has(instance) ? "draining" : "ready";
     this.store.put(`servers/${name}`, documents.entry(service, p.address, state, born));
   }
 
-  /** A worker says that it leaves, in its entry and in its answers. */
+  /** Makes a worker announce that it leaves, in its entry and in its answers. */
   leave(p: Place): void {
     this.leaving.add(p.worker.instance);
     p.worker.leaving = true;
@@ -171,15 +172,15 @@
   }
 
   /**
-   * Starts a worker anew at the same address, unless that was done to `instance` before; it holds
-   * nothing. One that tells its start keeps its name, another has a new one.
+   * Replaces the worker `instance` by a new one at the same address, which holds no adapters. Does nothing if it was replaced
+   * before. A worker that reports its start time keeps its name; any other gets a new one.
    */
   async restart(p: Place, instance: string): Promise<void> {
     if (p.worker.instance !== instance) return;
     const [host, port] = p.worker.address.split(":");
     this.end(p);
     const { name, born } = p.worker;
-    p.worker = this.made(p.name, p.worker instanceof workers.Engine);
+    p.worker = this.createWorker(p.name, p.worker instanceof workers.Engine);
     if (born === undefined) this.store.remove(`servers/${name}`);
     else p.worker.name = name;
     await p.worker.start(host, Number(port));
@@ -188,14 +189,14 @@
     this.register(p);
   }
 
-  /** Ends a worker at once; its port refuses connections until it starts again. */
+  /** Stops a worker at once; its port refuses connections until it starts again. */
   end(p: Place): void {
     p.worker.stop();
     p.proxy.stop();
   }
 
-  /** A request ended a worker; it is back after a while. */
-  private crashed(worker: workers.Engine | workers.Plain): void {
+  /** Handles a worker's crash by a request: restarts it after {@link BACK_MS}. */
+  private restartLater(worker: workers.Engine | workers.Plain): void {
     const p = this.places.find((x) => x.worker === worker);
     if (!p || this.stopped) return;
     this.end(p);
@@ -205,24 +206,24 @@
     }, BACK_MS);
   }
 
-  private made(name: string, engine: boolean): workers.Engine | workers.Plain {
-    const made = this.madeAnew(`${name}.${this.started++}`, engine);
-    if (tellsStart(name)) made.born = Date.now();
-    made.ended = () => {
-      this.crashed(made);
+  private createWorker(name: string, engine: boolean): workers.Engine | workers.Plain {
+    const worker = this.createInstance(`${name}.${this.started++}`, engine);
+    if (reportsStart(name)) worker.born = Date.now();
+    worker.ended = () => {
+      this.restartLater(worker);
     };
-    return made;
+    return worker;
   }
 
-  private madeAnew(instance: string, engine: boolean): workers.Engine | workers.Plain {
+  private createInstance(instance: string, engine: boolean): workers.Engine | workers.Plain {
     if (!engine) return new workers.Plain(PLAIN, instance, this.kept);
-    const made = new workers.Engine(ENGINES, instance, this.kept, SLOTS, this.newest);
-    made.eventMs = EVENT_MS;
-    made.slow = { adapter: SLOW_ADAPTER, eventMs: SLOW_EVENT_MS };
-    return made;
+    const worker = new workers.Engine(ENGINES, instance, this.kept, SLOTS, this.newest);
+    worker.eventMs = EVENT_MS;
+    worker.slow = { adapter: SLOW_ADAPTER, eventMs: SLOW_EVENT_MS };
+    return worker;
   }
 
-  private async storeFor(name: string): Promise<string> {
+  private async addStoreLink(name: string): Promise<string> {
     const link = new proxies.Proxy(() => this.store.address);
     this.storeLinks.set(name, link);
     return link.start(this.ip());
@@ -232,7 +233,7 @@
     const name = `engine-${i}`;
     const ip = this.ip();
     const before = this.ip();
-    const worker = this.made(name, true);
+    const worker = this.createWorker(name, true);
     await worker.start(ip);
     const proxy = new proxies.Proxy(() => place.worker.address);
     const seats = new proxies.Proxy(() => `${ip}:${seatPort}`);
@@ -246,7 +247,7 @@
       role: "endpoint",
       ip,
       seatPort,
-      store: await this.storeFor(`endpoint-${i}`),
+      store: await this.addStoreLink(`endpoint-${i}`),
       engine: worker.address,
       service: ENGINES,
     };
@@ -255,7 +256,7 @@
 
   private async addPlain(i: number): Promise<void> {
     const name = `plain-${i}`;
-    const worker = this.made(name, false);
+    const worker = this.createWorker(name, false);
     await worker.start(this.ip());
     const proxy = new proxies.Proxy(() => place.worker.address);
     const address = await proxy.start(this.ip());
@@ -271,51 +272,55 @@
       role: "entry",
       ip,
       seatPort,
-      store: await this.storeFor(`entry-${i}`),
+      store: await this.addStoreLink(`entry-${i}`),
       ports: [await freePorts.free(ip), await freePorts.free(ip)],
     };
     this.entries.push(new daemons.Daemon(plan, this.main, this.folder, this.fault));
   }
 
-  /** The entry daemons that the balancer gives out. */
+  /** The entry daemons that the load balancer uses: the ready ones, or all if fewer than half are ready. */
   inRotation(): readonly daemons.Daemon[] {
-    const ready = this.entries.filter((d) => (this.misses.get(d.plan.name) ?? 0) < MISSES);
+    const ready = this.entries.filter(
+      (d) => (this.failedProbes.get(d.plan.name) ?? 0) < MAX_FAILED_PROBES,
+    );
     return ready.length * 2 < this.entries.length ? this.entries : ready;
   }
 
-  private async askAll(): Promise<void> {
+  private async probeAll(): Promise<void> {
     await Promise.all(
       this.entries.map(async (d) => {
         const ready = await isReady(d);
-        const misses = this.misses.get(d.plan.name) ?? 0;
-        this.misses.set(d.plan.name, ready ? 0 : misses + 1);
+        const misses = this.failedProbes.get(d.plan.name) ?? 0;
+        this.failedProbes.set(d.plan.name, ready ? 0 : misses + 1);
       }),
     );
   }
 
-  /** Resolves once all entry daemons say that they are ready. */
+  /** Resolves once all entry daemons are ready; throws after 10 s. */
   async untilReady(): Promise<void> {
     for (let i = 0; i < 200; i++) {
       const ready = await Promise.all(this.entries.map((d) => isReady(d)));
       if (ready.every(Boolean)) return;
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
-    throw new Error("the daemons are not ready after 10 s");
+    throw new Error("entry daemons not ready after 10 s");
   }
 }
 
 async function isReady(d: daemons.Daemon): Promise<boolean> {
   try {
-    const res = await undici.request(d.readiness, { signal: AbortSignal.timeout(ASK_MS) });
+    const res = await undici.request(d.readiness, {
+      signal: AbortSignal.timeout(PROBE_INTERVAL_MS),
+    });
     await res.body.dump();
     return res.statusCode === 200;
   } catch {
-    // No answer is a miss, as for the platform's balancer.
+    // No answer counts as not ready, as for the platform's load balancer.
     return false;
   }
 }
 
-/** Whether the workers at a place tell their start: every other one of `KIND-N`. */
-function tellsStart(place: string): boolean {
+/** Whether the workers at a place `KIND-N` report their start time: those with an even `N` do. */
+function reportsStart(place: string): boolean {
   return Number(place.split("-").at(-1)) % 2 === 0;
 }
--- a/bench/soak/teams.ts
+++ b/bench/soak/teams.ts
@@ -1,11 +1,11 @@
 /**
- * The teams of a soak: their keys, which come and go, and the cap of one of them; and what workers must then have seen.
+ * The teams of a run, with API keys that are replaced and a rate cap of one team, and the checks that both were enforced.
  * @module
  */
 import type * as journals from "../platform/journal.js";
 import type * as history from "./history.js";
 
-/** A key, and when the operator put it in force and took it away. */
+/** An API key, and when the operator added and revoked it (`Infinity` while it is valid). */
 export interface Key {
   readonly key: string;
   readonly team: string;
@@ -13,42 +13,43 @@
   until: number;
 }
 
-/** A cap of {@link CAPPED} from a moment on. */
+/** A cap on the tokens a second of {@link CAPPED}, from time `at` on. */
 interface Cap {
   readonly perS: number;
   readonly at: number;
 }
 
-/** What the operator did with teams. */
+/** All keys and caps that the operator has set. */
 export interface Teams {
   readonly keys: Key[];
   readonly caps: Cap[];
 }
 
-/** Bounds that the daemons are told, as the platform names them. */
+/** Bounds in the daemons' settings, under the platform's names. */
 export const BOUNDS = {
   strictRevoke: true,
   revokeMs: 5000,
   quotaSlack: 2000,
 } as const;
-const OVERAGE = 0.1;
+const TOLERATED_OVERAGE = 0.1;
 const WINDOW_MS = 8000;
 const MS_PER_S = 1000;
-/** Milliseconds within which a change is in force on hosts in touch. */
+/** Milliseconds within which a change is in force on hosts that can reach the store. */
 const IN_FORCE_MS = 2000;
 
-const FREE = "news";
+const UNCAPPED = "news";
 const CAPPED = "sport";
-/** Tokens a second of the cap while it is high and while it is low; its burst is as large. */
-const HIGH = 6000;
-const LOW = 600;
-/** Tokens of a request on an adapter, and of a call. */
+/** The cap while it is high and while it is low, in tokens a second; its burst is as many tokens. */
+const HIGH_CAP = 6000;
+const LOW_CAP = 600;
+/** Tokens of a request to an adapter (as its usage header and in sum), and of a call. */
 export const STREAM_USAGE = "200,40";
 const STREAM_TOKENS = 240;
 const CALL_TOKENS = 20;
-/** A key that no configuration ever held. */
+/** A key that no configuration ever contained. */
 const UNKNOWN = "k-unknown";
 
+/** The teams at the start of a run: two keys each, and the high cap. */
 export function begin(now: number): Teams {
   const key = (team: string, n: number): Key => ({
     key: `k-${team}-${n}`,
@@ -57,23 +58,23 @@
     until: Infinity,
   });
   return {
-    keys: [FREE, CAPPED].flatMap((t) => [key(t, 1), key(t, 2)]),
-    caps: [{ perS: HIGH, at: now }],
+    keys: [UNCAPPED, CAPPED].flatMap((t) => [key(t, 1), key(t, 2)]),
+    caps: [{ perS: HIGH_CAP, at: now }],
   };
 }
 
-/** The teams as a configuration lists them. */
+/** The teams as listed in a configuration document. */
 export function listed(t: Teams): readonly object[] {
-  const perS = t.caps.at(-1)?.perS ?? HIGH;
+  const perS = t.caps.at(-1)?.perS ?? HIGH_CAP;
   const cap = { unit: "token_rate", plainTokens: CALL_TOKENS, ratePerS: perS, burst: perS };
-  return [FREE, CAPPED].map((name) => ({
+  return [UNCAPPED, CAPPED].map((name) => ({
     name,
     apiKeys: t.keys.filter((k) => k.team === name && k.until === Infinity).map((k) => k.key),
     ...(name === CAPPED && cap),
   }));
 }
 
-/** Takes a key away and gives its team another. */
+/** Revokes a key and gives its team a new one. */
 export function rotate(t: Teams, draw: <T>(list: readonly T[]) => T, now: number): void {
   const old = draw(t.keys.filter((k) => k.until === Infinity));
   old.until = now;
@@ -81,29 +82,29 @@
   t.keys.push({ key, team: old.team, from: now, until: Infinity });
 }
 
-/** Lowers the cap, or raises it again. */
+/** Switches the cap from high to low, or back. */
 export function toggleCap(t: Teams, now: number): void {
-  const perS = t.caps.at(-1)?.perS === HIGH ? LOW : HIGH;
+  const perS = t.caps.at(-1)?.perS === HIGH_CAP ? LOW_CAP : HIGH_CAP;
   t.caps.push({ perS, at: now });
 }
 
-/** Parts of the requests with a key in force; of the rest, most have one that was taken away. */
-const IN_FORCE = 0.88;
-const TAKEN_AWAY = 0.8;
+/** Share of the requests with a valid key; share of the others with a revoked key, if there is one, not an unknown key. */
+const VALID_KEY_SHARE = 0.88;
+const REVOKED_KEY_SHARE = 0.8;
 
-/** A key for a request, of a team or of none. */
+/** Draws the key for a request: valid, revoked or unknown. */
 export function keyFor(
   t: Teams,
   draw: { readonly part: () => number; readonly one: <T>(list: readonly T[]) => T },
 ): string {
-  const over = t.keys.filter((k) => k.until < Infinity);
-  const inForce = t.keys.filter((k) => k.until === Infinity);
-  if (draw.part() < IN_FORCE) return draw.one(inForce).key;
-  if (draw.part() < TAKEN_AWAY && over.length > 0) return draw.one(over).key;
+  const revoked = t.keys.filter((k) => k.until < Infinity);
+  const valid = t.keys.filter((k) => k.until === Infinity);
+  if (draw.part() < VALID_KEY_SHARE) return draw.one(valid).key;
+  if (draw.part() < REVOKED_KEY_SHARE && revoked.length > 0) return draw.one(revoked).key;
   return UNKNOWN;
 }
 
-/** What is wrong with how a request was treated, by its key. */
+/** Describes how a request's treatment violates the rules for its key; undefined if it does not. */
 export function check(
   t: Teams,
   s: history.Seen,
@@ -112,19 +113,19 @@
   const key = t.keys.find((k) => k.key === s.key);
   const foreign = runs.find((r) => r.team !== key?.team);
   if (foreign) return `ran for ${foreign.team ?? "no team"}, with a key of ${key?.team ?? "none"}`;
-  if (runs.some((r) => r.sawKey)) return "its worker was shown its key";
+  if (runs.some((r) => r.sawKey)) return "its API key was forwarded to a worker";
   if (!key) return undefined;
   if (runs.length > 0 && s.sentAt > key.until + BOUNDS.revokeMs) {
-    return `ran ${Math.round(s.sentAt - key.until)} ms after its key was taken away`;
+    return `ran ${Math.round(s.sentAt - key.until)} ms after its key was revoked`;
   }
   const denied = s.end.kind === "answer" && s.end.status === 401;
   if (denied && key.from + IN_FORCE_MS < s.sentAt && key.until > s.endedAt) {
-    return "its key was denied, which is in force";
+    return "got 401 with a valid key";
   }
   return undefined;
 }
 
-/** Windows in which the capped team ran more than its cap allows, a line each. */
+/** One line for each window in which the capped team ran more tokens than its cap allows. */
 export function beyondCap(
   t: Teams,
   seen: readonly history.Seen[],
@@ -142,15 +143,18 @@
     const used = ran
       .filter((r) => r.sentAt >= from && r.at <= to)
       .reduce((sum, r) => sum + r.tokens, 0);
-    const perS = capBefore(t, from, to, outOfTouch);
-    const allowed = perS * (WINDOW_MS / MS_PER_S + 1) * (1 + OVERAGE) + BOUNDS.quotaSlack;
+    const perS = highestCap(t, from, to, outOfTouch);
+    const allowed = perS * (WINDOW_MS / MS_PER_S + 1) * (1 + TOLERATED_OVERAGE) + BOUNDS.quotaSlack;
     if (used <= allowed) return [];
-    return [`cap: ${CAPPED} ran ${used} tokens in a window of ${Math.round(allowed)}`];
+    return [`cap: ${CAPPED} ran ${used} tokens in a window, ${Math.round(allowed)} allowed`];
   });
 }
 
-/** The highest cap that a window may go by: a lowered one binds a window after it is in force on all hosts in touch. */
-function capBefore(
+/**
+ * The highest cap that may apply in a window. A lowered cap binds a window that starts after the cap is in force on all hosts
+ * that can reach the store.
+ */
+function highestCap(
   t: Teams,
   from: number,
   to: number,
