--- a/bench/limits/play.ts
+++ b/bench/limits/play.ts
@@ -84,12 +84,14 @@
   const fallsAt = disturb(s, made, clk, random);
   await clk.runUntil(END_MS);
   const perSAt = (at: number): number => (at < fallsAt ? s.perS : s.perS / FALLS);
-  const judged = made.arrivals.filter((a) => !a.isExcused && a.at >= a.toldAt + limits.TOLD_MS);
+  const judged = made.arrivals.filter(
+    (a) => !a.isExcused && a.at >= a.toldAt + limits.PROPAGATION_MS,
+  );
   const spanS = (END_MS - NAMED_MS) / MS_PER_S;
   return {
     excess: excess(judged, perSAt),
     excessOfAll: excess(
-      made.arrivals.filter((a) => a.at >= NAMED_MS + limits.TOLD_MS),
+      made.arrivals.filter((a) => a.at >= NAMED_MS + limits.PROPAGATION_MS),
       perSAt,
     ),
     used: made.arrivals.filter((a) => a.at >= NAMED_MS).length / (s.perS * spanS),
@@ -183,7 +185,7 @@
       clk.after(EVENT_MS, () => {
         made.perS = s.perS / FALLS;
       });
-      return EVENT_MS + limits.BINDS_MS;
+      return EVENT_MS + limits.LIMIT_GRACE_MS;
     case "the limit is named anew":
       clk.after(EVENT_MS, () => {
         made.perS = undefined;
@@ -209,7 +211,7 @@
 
 /** Part of what arrived half a second and more after the limit was named first that was let in without knowing it. */
 function unaware(all: readonly fleet.Arrival[]): number {
-  const late = all.filter((a) => a.at >= NAMED_MS + limits.TOLD_MS);
+  const late = all.filter((a) => a.at >= NAMED_MS + limits.PROPAGATION_MS);
   return late.filter((a) => !a.knew).length / Math.max(1, late.length);
 }
 
@@ -220,10 +222,10 @@
   let most = -Infinity;
   for (const [last, a] of sorted.entries()) {
     while ((sorted[first]?.at ?? Infinity) <= a.at - WINDOW_MS) first++;
-    if (a.at < NAMED_MS + limits.BINDS_MS) continue;
+    if (a.at < NAMED_MS + limits.LIMIT_GRACE_MS) continue;
     // What a limit allows in a window is taken at the higher one where it falls within it.
     const perS = perSAt(a.at - WINDOW_MS);
-    most = Math.max(most, last - first + 1 - limits.allowed(perS));
+    most = Math.max(most, last - first + 1 - limits.allowedInWindow(perS));
   }
   return most;
 }
--- a/bench/platform/documents.ts
+++ b/bench/platform/documents.ts
@@ -27,7 +27,7 @@
 };
 
 /** A service of model workers with `slots` adapter slots each. */
-export function engines(name: string, slots: number): object {
+export function engineService(name: string, slots: number): object {
   return {
     name,
     healthPath: "/healthz",
@@ -44,7 +44,7 @@
 }
 
 /** A service of plain workers. */
-export function plain(name: string): object {
+export function plainService(name: string): object {
   return { name, healthPath: "/healthz", maxConnections: 100 };
 }
 
@@ -74,7 +74,7 @@
 }
 
 /** The entry by which a worker registers in the store; `born` is the Unix time of its start in ms. */
-export function entry(
+export function workerEntry(
   service: string,
   address: string,
   state: "ready" | "draining" = "ready",
--- a/bench/platform/http.ts
+++ b/bench/platform/http.ts
@@ -6,23 +6,23 @@
 import type * as net from "node:net";
 
 /** A parsed JSON object. */
-export type Body = Readonly<Record<string, unknown>>;
+export type JsonObject = Readonly<Record<string, unknown>>;
 
 /** Reads the whole body of a request. */
-export async function text(req: http.IncomingMessage): Promise<string> {
+export async function readText(req: http.IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const part of req as AsyncIterable<Buffer>) chunks.push(part);
   return Buffer.concat(chunks).toString();
 }
 
 /** Reads a JSON body; an empty body yields an empty object. */
-export async function json(req: http.IncomingMessage): Promise<Body> {
-  const body = await text(req);
-  return body === "" ? {} : (JSON.parse(body) as Body);
+export async function readJson(req: http.IncomingMessage): Promise<JsonObject> {
+  const body = await readText(req);
+  return body === "" ? {} : (JSON.parse(body) as JsonObject);
 }
 
 /** Sends a JSON response. */
-export function say(res: http.ServerResponse, status: number, body: object): void {
+export function sendJson(res: http.ServerResponse, status: number, body: object): void {
   res.writeHead(status, { "content-type": "application/json" });
   res.end(JSON.stringify(body));
 }
--- a/bench/platform/journal.ts
+++ b/bench/platform/journal.ts
@@ -57,6 +57,6 @@
 }
 
 /** An empty journal. */
-export function journal(): Journal {
+export function createJournal(): Journal {
   return { arrivals: [], runs: [], crashes: [], faults: [] };
 }
--- a/bench/platform/limits.ts
+++ b/bench/platform/limits.ts
@@ -11,18 +11,18 @@
 /** Requests that a window may hold on top of that. */
 const SLACK = 5;
 /** Milliseconds from the first announcement of a limit until windows are checked against it. */
-export const BINDS_MS = 3000;
+export const LIMIT_GRACE_MS = 3000;
 /** Milliseconds from the announcement until a host's requests count in a window. */
-export const TOLD_MS = 500;
+export const PROPAGATION_MS = 500;
 const MS_PER_S = 1000;
 
 /** Requests that the rule allows in any window under a limit of `perS` requests a second. */
-export function allowed(perS: number): number {
+export function allowedInWindow(perS: number): number {
   return LIMIT_FACTOR * perS * (WINDOW_MS / MS_PER_S) + SLACK;
 }
 
 /** The largest number of `times` (ascending) in a window that ends at `from` or later, and the end of that window. */
-export function most(
+export function maxInWindow(
   times: readonly number[],
   from: number,
 ): { readonly count: number; readonly at: number } {
@@ -39,7 +39,7 @@
  * One line for each worker that got too many requests in a window during which its announced limit did not change.
  * Arrivals for which `counts` is false are left out.
  */
-export function beyond(
+export function limitViolations(
   arrivals: readonly journals.Arrival[],
   counts: (a: journals.Arrival) => boolean = () => true,
 ): readonly string[] {
@@ -71,12 +71,12 @@
 ): readonly string[] {
   const namedAt = span[0]?.at ?? 0;
   const perS = span[0]?.limitPerS ?? Infinity;
-  const counted = span.filter((a) => a.at > namedAt + TOLD_MS && counts(a));
-  const { count } = most(
+  const counted = span.filter((a) => a.at > namedAt + PROPAGATION_MS && counts(a));
+  const { count } = maxInWindow(
     counted.map((a) => a.at),
-    namedAt + BINDS_MS,
+    namedAt + LIMIT_GRACE_MS,
   );
-  if (count <= allowed(perS)) return [];
-  const rule = `${allowed(perS)} allowed at ${perS} a second`;
+  if (count <= allowedInWindow(perS)) return [];
+  const rule = `${allowedInWindow(perS)} allowed at ${perS} a second`;
   return [`limit: ${instance} got ${count} requests in a window, ${rule}`];
 }
--- a/bench/platform/notices.ts
+++ b/bench/platform/notices.ts
@@ -11,33 +11,33 @@
 const MAX_REQUESTS_IN_PAUSE = 2;
 
 /** The entry host that a request was sent to, and when. */
-export interface Sent {
+export interface SentRequest {
   readonly entry: string;
   readonly at: number;
 }
 
 /** An entry host passed on a worker's answer that announced that the worker leaves. */
-export interface Told {
+export interface PassedOnNotice {
   readonly entry: string;
   readonly instance: string;
   readonly at: number;
 }
 
 /** Whether a rule applies to an entry host's requests to a worker between two times. */
-export type Binds = (entry: string, instance: string, from: number, to: number) => boolean;
+export type AppliesTo = (entry: string, instance: string, from: number, to: number) => boolean;
 
-const ALWAYS: Binds = () => true;
+const ALWAYS: AppliesTo = () => true;
 
 /**
  * One line for each request that an entry host sent to a leaving worker, though the request came in more than `drainMs`
  * after the host had passed on the worker's announcement.
  */
-export function reachedLeaving(
+export function leavingViolations(
   arrivals: readonly journals.Arrival[],
-  sent: ReadonlyMap<string, Sent>,
-  told: readonly Told[],
+  sent: ReadonlyMap<string, SentRequest>,
+  told: readonly PassedOnNotice[],
   drainMs: number,
-  binds: Binds = ALWAYS,
+  binds: AppliesTo = ALWAYS,
 ): readonly string[] {
   return arrivals.flatMap((a) => {
     const s = sent.get(a.id);
@@ -55,10 +55,10 @@
 }
 
 /** One line for each pause during which an entry host sent the worker more requests than allowed. */
-export function reachedPaused(
+export function pauseViolations(
   arrivals: readonly journals.Arrival[],
-  sent: ReadonlyMap<string, Sent>,
-  binds: Binds = ALWAYS,
+  sent: ReadonlyMap<string, SentRequest>,
+  binds: AppliesTo = ALWAYS,
 ): readonly string[] {
   return arrivals.flatMap((asked) => {
     const entry = sent.get(asked.id)?.entry;
--- a/bench/platform/ports.ts
+++ b/bench/platform/ports.ts
@@ -29,7 +29,7 @@
 }
 
 /** A port of `ip` on which nothing listens and that this process has not given out before. Throws if there is none. */
-export async function free(ip = "127.0.0.1"): Promise<number> {
+export async function findFree(ip = "127.0.0.1"): Promise<number> {
   for (let tried = FIRST_PORT; tried < END_PORT; tried++) {
     const port = nextPort;
     nextPort = port + 1 < END_PORT ? port + 1 : FIRST_PORT;
--- a/bench/platform/retry-rule.ts
+++ b/bench/platform/retry-rule.ts
@@ -4,14 +4,14 @@
  */
 
 /** The retry budget: in any window, `ratio` retries for each request and `slack` more. */
-export interface Bounds {
+export interface RetryBudget {
   readonly windowMs: number;
   readonly ratio: number;
   readonly slack: number;
 }
 
 /** Retries in a window that starts at `from`, and the number allowed in it. */
-export interface Window {
+export interface RetryWindow {
   readonly from: number;
   readonly retries: number;
   readonly allowed: number;
@@ -22,13 +22,13 @@
  * The allowance counts the requests in the window itself, in the window before it, or in the one that starts half a window
  * earlier, whichever is most. `asked` and `retried` are ascending times of requests and retries.
  */
-export function worst(
+export function worstWindow(
   asked: readonly number[],
   retried: readonly number[],
-  b: Bounds,
-): Window | undefined {
-  let found: Window | undefined;
-  const excess = (w: Window): number => w.retries - w.allowed;
+  b: RetryBudget,
+): RetryWindow | undefined {
+  let found: RetryWindow | undefined;
+  const excess = (w: RetryWindow): number => w.retries - w.allowed;
   for (const from of new Set(retried)) {
     const starts = [from, from - b.windowMs / 2, from - b.windowMs];
     const requests = Math.max(...starts.map((t) => countBetween(asked, t, t + b.windowMs)));
--- a/bench/platform/store.ts
+++ b/bench/platform/store.ts
@@ -103,7 +103,7 @@
       return;
     }
     if (mode === "busy") {
-      servers.say(res, 503, {});
+      servers.sendJson(res, 503, {});
       return;
     }
     const url = new URL(req.url ?? "/", "http://store");
@@ -115,34 +115,34 @@
         await this.watch(url.searchParams, res);
         return;
       case "/-/kv-lease":
-        servers.say(res, 200, { lease: 1, ttlMs: 1000 });
+        servers.sendJson(res, 200, { lease: 1, ttlMs: 1000 });
         return;
       case "/-/kv-txn":
-        this.transact(await servers.json(req), res);
+        this.transact(await servers.readJson(req), res);
         return;
       default:
-        servers.say(res, 404, {});
+        servers.sendJson(res, 404, {});
     }
   }
 
   private range(query: URLSearchParams, res: http.ServerResponse): void {
     const prefix = query.get("prefix") ?? "";
     const items = [...this.items.values()].filter((i) => i.key.startsWith(prefix));
-    servers.say(res, 200, { items, truncated: false, currentRev: this.revision });
+    servers.sendJson(res, 200, { items, truncated: false, currentRev: this.revision });
   }
 
-  private transact(body: servers.Body, res: http.ServerResponse): void {
+  private transact(body: servers.JsonObject, res: http.ServerResponse): void {
     const expected = body.expected as readonly { key: string; revision: number }[];
     const isMet = expected.every((e) => (this.items.get(e.key)?.revision ?? 0) === e.revision);
     if (!isMet) {
-      servers.say(res, 412, { items: [] });
+      servers.sendJson(res, 412, { items: [] });
       return;
     }
     const writes = body.writes as readonly { key: string; value: string }[];
     for (const w of writes) this.write(w.key, w.value);
     for (const key of body.remove as readonly string[]) this.remove(key);
     if (Math.random() < this.faults.loseWrites) res.destroy();
-    else servers.say(res, 200, { revision: this.revision });
+    else servers.sendJson(res, 200, { revision: this.revision });
   }
 
   private async watch(query: URLSearchParams, res: http.ServerResponse): Promise<void> {
@@ -154,10 +154,10 @@
       });
     }
     if (after < this.compactedRevision) {
-      servers.say(res, 410, {});
+      servers.sendJson(res, 410, {});
       return;
     }
     const events = this.history.filter((e) => e.revision > after).map((e) => e.body);
-    servers.say(res, 200, { events, currentRev: this.revision });
+    servers.sendJson(res, 200, { events, currentRev: this.revision });
   }
 }
--- a/bench/platform/worker-base.ts
+++ b/bench/platform/worker-base.ts
@@ -8,7 +8,7 @@
 import * as servers from "./http.js";
 
 /** How a worker behaves; every value but `well` is a fault. */
-export type Mood =
+export type Behavior =
   | "well"
   /** Rejects most of its requests with a 503 before it runs them. */
   | "shedding"
@@ -35,21 +35,21 @@
 const UNAVAILABLE = 503;
 const MS_PER_S = 1000;
 /** A request whose body contains this text crashes its worker. */
-export const FATAL = "ends its worker";
+export const CRASH_MARKER = "ends its worker";
 /** Milliseconds from the start of such a request to the crash. */
 const CRASH_DELAY_MS = 10;
 
 /** A header's value as a string; empty when it is missing. */
-export const one = (v: string | readonly string[] | undefined): string => String(v ?? "");
+export const firstValue = (v: string | readonly string[] | undefined): string => String(v ?? "");
 
 function teamOf(req: http.IncomingMessage): string | undefined {
   const team = req.headers["x-sumacfield-tenant"];
-  return team === undefined ? undefined : one(team);
+  return team === undefined ? undefined : firstValue(team);
 }
 
 /** A stand-in worker. */
 export abstract class Base {
-  mood: Mood = "well";
+  behavior: Behavior = "well";
   /** Limit that it announces, in requests a second; undefined for none. */
   limitPerS: number | undefined;
   /** Whether its answers announce that it leaves. */
@@ -63,14 +63,14 @@
   /** Start time in Unix ms, which it reports; undefined when it does not report one. */
   born: number | undefined;
   /** Called after a request has crashed the worker. */
-  ended: () => void = () => undefined;
+  onCrash: () => void = () => undefined;
   private hasCrashed = false;
   protected readonly listener = new servers.Listener((req, res) => this.answer(req, res));
 
   constructor(
     readonly service: string,
     public instance: string,
-    protected readonly kept: journals.Journal,
+    protected readonly journal: journals.Journal,
   ) {
     this.name = instance;
   }
@@ -90,7 +90,7 @@
 
   protected abstract answer(req: http.IncomingMessage, res: http.ServerResponse): Promise<void>;
 
-  protected bad(): boolean {
+  protected isFaultyTurn(): boolean {
     return Math.random() < FAULTY_SHARE;
   }
 
@@ -102,15 +102,15 @@
   }
 
   /** Rejects a request that is meant for another worker, or whose adapter it does not hold. */
-  protected misdirected(res: http.ServerResponse, arrival: journals.Arrival): void {
+  protected rejectMisdirected(res: http.ServerResponse, arrival: journals.Arrival): void {
     arrival.isMisdirected = true;
     this.reject(res, MISDIRECTED, arrival.id);
   }
 
   /** Records the arrival of a request, and decides whether it is shed. */
-  protected arrived(id: string): journals.Arrival {
+  protected recordArrival(id: string): journals.Arrival {
     const { service, instance, limitPerS, leaving, pauseS } = this;
-    const sheds = this.mood === "shedding" && Math.random() < this.shedPart;
+    const sheds = this.behavior === "shedding" && Math.random() < this.shedPart;
     const arrival: journals.Arrival = {
       id,
       service,
@@ -122,7 +122,7 @@
       isMisdirected: false,
       at: performance.now(),
     };
-    this.kept.arrivals.push(arrival);
+    this.journal.arrivals.push(arrival);
     return arrival;
   }
 
@@ -133,32 +133,32 @@
   }
 
   /** Records a run, which ends when the response's connection closes. */
-  protected begin(
+  protected recordRun(
     req: http.IncomingMessage,
     res: http.ServerResponse,
     adapter: string,
     version: number,
   ): journals.Run {
     const run: journals.Run = {
-      id: one(req.headers["x-sumacfield-attempt-id"]),
+      id: firstValue(req.headers["x-sumacfield-attempt-id"]),
       service: this.service,
       instance: this.instance,
       adapter,
       version,
-      leftMs: Number(one(req.headers["x-sumacfield-deadline-ms"])),
+      leftMs: Number(firstValue(req.headers["x-sumacfield-deadline-ms"])),
       team: teamOf(req),
       sawKey: req.headers.authorization !== undefined,
       at: performance.now(),
       endedAt: undefined,
     };
-    this.kept.runs.push(run);
+    this.journal.runs.push(run);
     res.once("close", () => {
       run.endedAt = performance.now();
     });
     return run;
   }
 
-  protected signed(id: string): Record<string, string> {
+  protected signatureHeaders(id: string): Record<string, string> {
     const signature = { "x-sumacfield-server-signature": this.instance };
     return { "x-sumacfield-attempt-id": id, ...signature, ...this.notices() };
   }
@@ -173,19 +173,19 @@
   }
 
   /** Crashes the worker if the body contains {@link CRASH_MARKER}. Returns whether it crashed. */
-  protected async endsUnder(run: journals.Run, body: string): Promise<boolean> {
-    if (!body.includes(FATAL)) return false;
+  protected async crashIfFatal(run: journals.Run, body: string): Promise<boolean> {
+    if (!body.includes(CRASH_MARKER)) return false;
     await timers.setTimeout(CRASH_DELAY_MS);
     if (this.hasCrashed) return true;
     this.hasCrashed = true;
-    this.kept.crashes.push({ id: run.id, body, instance: this.instance, at: performance.now() });
+    this.journal.crashes.push({ id: run.id, body, instance: this.instance, at: performance.now() });
     this.stop();
-    this.ended();
+    this.onCrash();
     return true;
   }
 
   /** Sends a second response, which belongs to no request, after this one. */
-  protected double(res: http.ServerResponse): void {
+  protected sendExtraResponse(res: http.ServerResponse): void {
     const { socket } = res;
     res.once("finish", () => {
       const extra = "HTTP/1.1 200 OK\r\nx-sumacfield-attempt-id: other\r\n";
--- a/bench/platform/worker.ts
+++ b/bench/platform/worker.ts
@@ -18,11 +18,11 @@
 /** Milliseconds that loading an adapter takes. */
 const LOAD_MS = 30;
 /** Number of events in a stream. */
-export const EVENTS = 5;
+export const EVENTS_PER_STREAM = 5;
 
 /** The text of a stream's `n`th event; `n` starts at 1. */
-export function event(id: string, adapter: string, version: number, n: number): string {
-  return `id: ${n}\ndata: ${id} ${adapter}@${version} ${n} of ${EVENTS}\n\n`;
+export function eventText(id: string, adapter: string, version: number, n: number): string {
+  return `id: ${n}\ndata: ${id} ${adapter}@${version} ${n} of ${EVENTS_PER_STREAM}\n\n`;
 }
 
 /** An adapter that occupies a slot. */
@@ -36,11 +36,11 @@
 
 /** A model worker with a number of adapter slots, all empty at its start. */
 export class Engine extends base.Base {
-  readonly held = new Map<string, LoadedAdapter>();
+  readonly adapters = new Map<string, LoadedAdapter>();
   /** Milliseconds between two events of a stream. */
   eventMs = 5;
   /** Another interval for the streams of one adapter. */
-  slow: { readonly adapter: string; readonly eventMs: number } | undefined;
+  slowAdapter: { readonly adapter: string; readonly eventMs: number } | undefined;
   /** Number of orders carried out. */
   private sequence = 0;
 
@@ -62,18 +62,18 @@
         res.end();
         return;
       case "/-/report":
-        servers.say(res, 200, this.report());
+        servers.sendJson(res, 200, this.report());
         return;
       case "/-/order":
         await this.receiveOrder(req, res);
         return;
       default:
-        await this.run(await servers.text(req), req, res);
+        await this.run(await servers.readText(req), req, res);
     }
   }
 
   private report(): object {
-    const all = [...this.held].map(([name, h]) => ({ text: `${name}@${h.version}`, ...h }));
+    const all = [...this.adapters].map(([name, h]) => ({ text: `${name}@${h.version}`, ...h }));
     const adapters = all.filter((h) => h.ready).map((h) => h.text);
     const coming = all.filter((h) => !h.ready).map((h) => `${documents.MODEL}/${h.text}`);
     return {
@@ -89,26 +89,26 @@
   }
 
   private async receiveOrder(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const body = await servers.json(req);
-    if (this.mood === "late" && this.bad()) {
+    const body = await servers.readJson(req);
+    if (this.behavior === "late" && this.isFaultyTurn()) {
       setTimeout(() => this.carryOut(body), LATE_ORDER_MS);
       return;
     }
     if (req.headers["x-sumacfield-expect-instance"] !== this.name) {
-      servers.say(res, 421, {});
+      servers.sendJson(res, 421, {});
       return;
     }
-    servers.say(res, this.carryOut(body), {});
+    servers.sendJson(res, this.carryOut(body), {});
   }
 
   /** Carries out an order unless its expected sequence is outdated. Returns the HTTP status of the answer. */
-  private carryOut(body: servers.Body): number {
+  private carryOut(body: servers.JsonObject): number {
     if (body.holder === undefined || body.fencingToken === undefined) return 400;
     if (body.expected !== undefined && body.expected !== this.sequence) return 409;
     const adapter = String(body.adapter);
     this.sequence++;
     if (body.operation === "model_load") return this.load(adapter, Number(body.version ?? 0));
-    const h = this.held.get(adapter);
+    const h = this.adapters.get(adapter);
     if (h) h.closing = true;
     this.unloadIfIdle(adapter);
     return 200;
@@ -116,13 +116,18 @@
 
   private load(adapter: string, version: number): number {
     const wanted = version > 0 ? version : (this.newest.get(adapter) ?? 1);
-    const old = this.held.get(adapter);
-    if (!old && this.held.size >= this.slots) {
-      this.kept.faults.push(`${this.instance} was ordered to hold more than ${this.slots}`);
+    const old = this.adapters.get(adapter);
+    if (!old && this.adapters.size >= this.slots) {
+      this.journal.faults.push(`${this.instance} was ordered to hold more than ${this.slots}`);
     }
-    this.held.set(adapter, { version: wanted, ready: false, runs: old?.runs ?? 0, closing: false });
+    this.adapters.set(adapter, {
+      version: wanted,
+      ready: false,
+      runs: old?.runs ?? 0,
+      closing: false,
+    });
     setTimeout(() => {
-      const h = this.held.get(adapter);
+      const h = this.adapters.get(adapter);
       if (h) h.ready = true;
     }, LOAD_MS);
     return 202;
@@ -130,8 +135,8 @@
 
   /** Unloads an adapter that was ordered to unload, if nothing runs on it. */
   private unloadIfIdle(adapter: string): void {
-    const h = this.held.get(adapter);
-    if (h?.closing && h.runs === 0) this.held.delete(adapter);
+    const h = this.adapters.get(adapter);
+    if (h?.closing && h.runs === 0) this.adapters.delete(adapter);
   }
 
   private async run(
@@ -139,32 +144,32 @@
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    const id = base.one(req.headers["x-sumacfield-attempt-id"]);
-    const arrival = this.arrived(id);
+    const id = base.firstValue(req.headers["x-sumacfield-attempt-id"]);
+    const arrival = this.recordArrival(id);
     if (arrival.sheds) {
       this.shed(res, arrival);
       return;
     }
-    const [, adapter = ""] = base.one(req.headers["x-sumacfield-model"]).split("/");
-    const h = this.held.get(adapter);
+    const [, adapter = ""] = base.firstValue(req.headers["x-sumacfield-model"]).split("/");
+    const h = this.adapters.get(adapter);
     const version = req.headers["x-sumacfield-expect-version"];
     const meant = req.headers["x-sumacfield-expect-instance"];
     const other = version !== undefined && Number(version) !== h?.version;
     if ((meant !== undefined && meant !== this.name) || !h?.ready || other) {
-      this.misdirected(res, arrival);
+      this.rejectMisdirected(res, arrival);
       return;
     }
     if (h.closing) {
       this.reject(res, 503, id);
       return;
     }
-    const run = this.begin(req, res, adapter, h.version);
+    const run = this.recordRun(req, res, adapter, h.version);
     h.runs++;
     res.once("close", () => {
       h.runs--;
       this.unloadIfIdle(adapter);
     });
-    if (await this.endsUnder(run, body)) return;
+    if (await this.crashIfFatal(run, body)) return;
     await this.stream(run, req, res);
   }
 
@@ -173,30 +178,31 @@
     req: http.IncomingMessage,
     res: http.ServerResponse,
   ): Promise<void> {
-    const { mood } = this;
-    const bad = mood !== "well" && this.bad();
-    if (mood === "hanging" && bad) return;
-    if (mood === "losing" && bad) {
-      await timers.setTimeout(this.eventMs * EVENTS);
+    const { behavior } = this;
+    const bad = behavior !== "well" && this.isFaultyTurn();
+    if (behavior === "hanging" && bad) return;
+    if (behavior === "losing" && bad) {
+      await timers.setTimeout(this.eventMs * EVENTS_PER_STREAM);
       res.destroy();
       return;
     }
-    if (mood === "failing" && bad) {
-      res.writeHead(500, { ...this.signed(run.id), "content-length": 0 });
+    if (behavior === "failing" && bad) {
+      res.writeHead(500, { ...this.signatureHeaders(run.id), "content-length": 0 });
       res.end();
       return;
     }
-    if (mood === "doubling" && bad) this.double(res);
-    res.writeHead(200, { ...this.signed(run.id), "content-type": "text/event-stream" });
-    const usual = run.adapter === this.slow?.adapter ? this.slow.eventMs : this.eventMs;
-    const ms = usual * (mood === "slow" ? SLOW_FACTOR : 1);
-    const from = Number(base.one(req.headers["last-event-id"]) || 0) + 1;
+    if (behavior === "doubling" && bad) this.sendExtraResponse(res);
+    res.writeHead(200, { ...this.signatureHeaders(run.id), "content-type": "text/event-stream" });
+    const usual =
+      run.adapter === this.slowAdapter?.adapter ? this.slowAdapter.eventMs : this.eventMs;
+    const ms = usual * (behavior === "slow" ? SLOW_FACTOR : 1);
+    const from = Number(base.firstValue(req.headers["last-event-id"]) || 0) + 1;
     const due = run.at + run.leftMs;
-    for (let n = from; n <= EVENTS; n++) {
+    for (let n = from; n <= EVENTS_PER_STREAM; n++) {
       await timers.setTimeout(ms);
       if (res.destroyed) return;
-      const text = event(run.id, run.adapter, run.version, n);
-      if (performance.now() > due || (mood === "breaking" && bad && n === 3)) {
+      const text = eventText(run.id, run.adapter, run.version, n);
+      if (performance.now() > due || (behavior === "breaking" && bad && n === 3)) {
         res.write(text.slice(0, text.length / 2));
         await timers.setTimeout(1);
         res.destroy();
@@ -219,34 +225,34 @@
       res.end();
       return;
     }
-    const body = await servers.text(req);
-    const id = base.one(req.headers["x-sumacfield-attempt-id"]);
-    const arrival = this.arrived(id);
+    const body = await servers.readText(req);
+    const id = base.firstValue(req.headers["x-sumacfield-attempt-id"]);
+    const arrival = this.recordArrival(id);
     if (arrival.sheds) {
       this.shed(res, arrival);
       return;
     }
     const meant = req.headers["x-sumacfield-expect-instance"];
     if (meant !== undefined && meant !== this.name) {
-      this.misdirected(res, arrival);
+      this.rejectMisdirected(res, arrival);
       return;
     }
-    const run = this.begin(req, res, "", 0);
-    if (await this.endsUnder(run, body)) return;
-    const { mood } = this;
-    const bad = mood !== "well" && this.bad();
-    if (mood === "hanging" && bad) return;
-    await timers.setTimeout(this.callMs * (mood === "slow" ? SLOW_FACTOR : 1));
+    const run = this.recordRun(req, res, "", 0);
+    if (await this.crashIfFatal(run, body)) return;
+    const { behavior } = this;
+    const bad = behavior !== "well" && this.isFaultyTurn();
+    if (behavior === "hanging" && bad) return;
+    await timers.setTimeout(this.callMs * (behavior === "slow" ? SLOW_FACTOR : 1));
     if (res.destroyed) return;
-    if (mood === "losing" && bad) {
+    if (behavior === "losing" && bad) {
       res.destroy();
       return;
     }
-    const status = mood === "failing" && bad ? 500 : 200;
-    const text = answerOf(run.id, body);
-    if (mood === "doubling" && bad) this.double(res);
-    res.writeHead(status, { ...this.signed(id), "content-length": text.length });
-    if (mood === "breaking" && bad) {
+    const status = behavior === "failing" && bad ? 500 : 200;
+    const text = answerText(run.id, body);
+    if (behavior === "doubling" && bad) this.sendExtraResponse(res);
+    res.writeHead(status, { ...this.signatureHeaders(id), "content-length": text.length });
+    if (behavior === "breaking" && bad) {
       res.write(text.slice(0, 3));
       await timers.setTimeout(1);
       res.destroy();
@@ -257,6 +263,6 @@
 }
 
 /** The complete answer of a plain worker to a request. */
-export function answerOf(id: string, body: string): string {
+export function answerText(id: string, body: string): string {
   return `${id} got ${body}`;
 }
--- a/bench/soak/caller.ts
+++ b/bench/soak/caller.ts
@@ -11,7 +11,7 @@
 import * as teams from "./teams.js";
 
 /** A request to send. */
-export interface Wish {
+export interface RequestPlan {
   readonly kind: history.Kind;
   readonly path: string;
   readonly adapter: string;
@@ -26,12 +26,12 @@
 }
 
 /** What callers need from the run: what to send, where to, and where to record the result. */
-export interface World {
-  readonly wish: () => Wish;
+export interface Environment {
+  readonly nextRequest: () => RequestPlan;
   /** The name and `ip:port` of an entry daemon in the load balancer's rotation; undefined for none. */
   readonly entry: () => { readonly name: string; readonly address: string } | undefined;
   readonly pauseMs: () => number;
-  readonly saw: (s: history.Seen) => void;
+  readonly record: (s: history.RequestRecord) => void;
   readonly nextId: () => string;
   readonly key: () => string;
 }
@@ -42,7 +42,7 @@
 const GIVE_UP_MS = 4000;
 
 /** Sends one request on a new connection. */
-export async function once(w: World): Promise<void> {
+export async function sendOne(w: Environment): Promise<void> {
   const to = w.entry();
   if (!to) return;
   const client = new undici.Client(`http://${to.address}`, { connect: { timeout: 1000 } });
@@ -51,7 +51,7 @@
 }
 
 /** Sends requests until `signal` aborts; resolves once the last one has ended. */
-export async function run(w: World, signal: AbortSignal): Promise<void> {
+export async function run(w: Environment, signal: AbortSignal): Promise<void> {
   while (!signal.aborted) {
     const to = w.entry();
     if (!to) {
@@ -78,12 +78,12 @@
 }
 
 /** Sends one request. Returns whether its connection can be used again. */
-async function sendRequest(w: World, client: undici.Client, entry: string): Promise<boolean> {
-  const wish = w.wish();
+async function sendRequest(w: Environment, client: undici.Client, entry: string): Promise<boolean> {
+  const wish = w.nextRequest();
   const id = w.nextId();
   const key = w.key();
   const { fatal } = wish;
-  const body = fatal === undefined ? `body of ${id}` : `${fatal} ${bases.FATAL}`;
+  const body = fatal === undefined ? `body of ${id}` : `${fatal} ${bases.CRASH_MARKER}`;
   const sentAt = performance.now();
   const cancel = new AbortController();
   const leaveMs = wish.leaveMs ?? wish.waitMs + GIVE_UP_MS;
@@ -91,7 +91,7 @@
     cancel.abort();
   }, leaveMs);
   let text = "";
-  let end: history.Seen["end"];
+  let end: history.RequestRecord["end"];
   let isConnected = true;
   try {
     const res = await client.request({
@@ -127,7 +127,7 @@
   const { kind, path, adapter, waitMs, version } = wish;
   // A failed connect is left to the load balancer and does not count as a request.
   if (isConnected) {
-    w.saw({ id, kind, key, entry, path, adapter, body, waitMs, sentAt, endedAt, version, end });
+    w.record({ id, kind, key, entry, path, adapter, body, waitMs, sentAt, endedAt, version, end });
   }
   return end.kind === "answer";
 }
--- a/bench/soak/daemon.ts
+++ b/bench/soak/daemon.ts
@@ -13,7 +13,7 @@
  * Retry budget of all entry daemons together: in a window of `windowS` seconds, they may retry the share `ratio` of the
  * requests for a service, and `slack` requests more.
  */
-export const RETRIES = { ratio: 0.2, slack: 58, windowS: 10 };
+export const RETRY_BUDGET = { ratio: 0.2, slack: 58, windowS: 10 };
 
 /** Milliseconds that a daemon has between SIGTERM and SIGKILL. */
 export const GRACE_MS = 5000;
@@ -23,9 +23,9 @@
 const BOUNDS = {
   graceS: GRACE_MS / 1000,
   drainTimeoutMs: DRAIN_MS,
-  retryBudgetRatio: RETRIES.ratio,
-  budgetWindowS: RETRIES.windowS,
-  budgetSlack: RETRIES.slack,
+  retryBudgetRatio: RETRY_BUDGET.ratio,
+  budgetWindowS: RETRY_BUDGET.windowS,
+  budgetSlack: RETRY_BUDGET.slack,
   contactMs: 3000,
   ...teams.BOUNDS,
 };
--- a/bench/soak/disturbances.ts
+++ b/bench/soak/disturbances.ts
@@ -16,7 +16,7 @@
 const AFTER_EFFECT_MS = 3500;
 
 /** Whether a disturbance that `which` selects was active, or had ended shortly before, between two times. */
-export function any(
+export function anyDisturbed(
   list: readonly Disturbance[],
   from: number,
   to: number,
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -26,11 +26,11 @@
   readonly site: site.Site;
   readonly draw: Draw;
   readonly history: history.History;
-  readonly world: caller.World;
+  readonly world: caller.Environment;
 }
 
 /** A fault in progress: the names of the parts it affects, and how to undo it. */
-export interface Struck {
+export interface ActiveFault {
   readonly on: readonly string[];
   readonly end: () => Promise<void> | void;
 }
@@ -39,9 +39,9 @@
 export interface Fault {
   readonly name: string;
   /** Range of the milliseconds that it lasts. */
-  readonly lasts: readonly [number, number];
+  readonly durationMs: readonly [number, number];
   /** Starts it. Returns undefined when there is nothing that it could affect now. */
-  readonly begin: (d: Deps) => Struck | undefined;
+  readonly begin: (d: Deps) => ActiveFault | undefined;
 }
 
 const doNothing = (): undefined => undefined;
@@ -55,7 +55,7 @@
 function killFault(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
   return {
     name: `${name} killed`,
-    lasts: [100, 1500],
+    durationMs: [100, 1500],
     begin: (d) => {
       const daemon = drawRunning(d, of(d.site));
       if (!daemon) return undefined;
@@ -74,7 +74,7 @@
 function freezeFault(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
   return {
     name: `${name} frozen`,
-    lasts: [200, 3000],
+    durationMs: [200, 3000],
     begin: (d) => {
       const daemon = drawRunning(d, of(d.site));
       if (!daemon) return undefined;
@@ -92,7 +92,7 @@
 function stopFault(name: string, of: (s: site.Site) => readonly daemons.Daemon[]): Fault {
   return {
     name: `${name} asked to stop`,
-    lasts: [100, 500],
+    durationMs: [100, 500],
     begin: (d) => {
       const daemon = drawRunning(d, of(d.site));
       if (!daemon) return undefined;
@@ -108,19 +108,19 @@
   };
 }
 
-function workerFault(m: bases.Mood): Fault {
+function workerFault(m: bases.Behavior): Fault {
   return {
     name: `worker ${m}`,
-    lasts: [500, 4000],
+    durationMs: [500, 4000],
     begin: (d) => {
       const able = (p: site.Place): boolean => m !== "late" || p.worker instanceof workers.Engine;
       const place = d.draw.one(d.site.places.filter(able));
       const { worker } = place;
-      worker.mood = m;
+      worker.behavior = m;
       return {
         on: [worker.instance],
         end: () => {
-          worker.mood = "well";
+          worker.behavior = "well";
         },
       };
     },
@@ -131,14 +131,14 @@
 function linkFault(name: string, begin: (d: Deps, p: site.Place) => void): Fault {
   return {
     name: `link ${name}`,
-    lasts: [300, 3000],
+    durationMs: [300, 3000],
     begin: (d) => {
       const place = d.draw.one(d.site.places);
       begin(d, place);
       return {
         on: [place.worker.instance, place.name],
         end: () => {
-          for (const p of [place.proxy, place.seats]) p?.set({ kind: "none" });
+          for (const p of [place.proxy, place.seats]) p?.setFault({ kind: "none" });
         },
       };
     },
@@ -148,7 +148,7 @@
 function storeFault(name: string, begin: (d: Deps) => void): Fault {
   return {
     name: `store ${name}`,
-    lasts: [500, 5000],
+    durationMs: [500, 5000],
     begin: (d) => {
       begin(d);
       return {
@@ -172,7 +172,7 @@
 
 const workerLeaves: Fault = {
   name: "worker leaves",
-  lasts: [3500, 5000],
+  durationMs: [3500, 5000],
   begin: (d) => {
     const place = d.draw.one(d.site.places);
     const { instance } = place.worker;
@@ -197,9 +197,9 @@
 const FATAL_PATHS = { stream: "/s/", call: "/c/", call_once: "/n/" } as const;
 
 /** Sends one request that crashes its workers repeatedly for a while, to any entry host. */
-export async function fatal(d: Deps): Promise<void> {
+export async function repeatFatalRequest(d: Deps): Promise<void> {
   const kind = d.draw.one(FATAL_KINDS);
-  const wish: caller.Wish = {
+  const wish: caller.RequestPlan = {
     kind,
     path: FATAL_PATHS[kind],
     adapter: kind === "stream" ? d.draw.one(ADAPTERS) : "",
@@ -211,7 +211,7 @@
   const until = performance.now() + d.draw.between(...REPEAT_FOR_MS);
   const attempts: Promise<void>[] = [];
   while (performance.now() < until) {
-    attempts.push(caller.once({ ...d.world, wish: () => wish }));
+    attempts.push(caller.sendOne({ ...d.world, nextRequest: () => wish }));
     await timers.setTimeout(d.draw.between(...REPEAT_INTERVAL_MS));
   }
   await Promise.all(attempts);
@@ -223,20 +223,20 @@
 const RESTART_FAULTS = [killFault("entry daemon", entries), stopFault("entry daemon", entries)];
 
 /** Lets all workers of one service shed load while entry daemons are killed or asked to stop, one after the other. */
-export async function shedding(
+export async function shedDuringRestarts(
   d: Deps,
   strike: (f: Fault) => Promise<void> | undefined,
 ): Promise<void> {
   const { service } = d.draw.one(d.site.places).worker;
   const struck = d.site.places.map((p) => p.worker).filter((w) => w.service === service);
-  for (const w of struck) w.mood = "shedding";
+  for (const w of struck) w.behavior = "shedding";
   const going: Promise<void>[] = [];
   for (let n = 0; n < RESTARTS; n++) {
     await timers.setTimeout(d.draw.between(...RESTART_INTERVAL_MS));
     going.push(strike(d.draw.one(RESTART_FAULTS)) ?? Promise.resolve());
   }
   await Promise.all(going);
-  for (const w of struck) if (w.mood === "shedding") w.mood = "well";
+  for (const w of struck) if (w.behavior === "shedding") w.behavior = "well";
 }
 
 /** Range of the limits that a worker announces, in requests a second, and of the milliseconds for which it does. */
@@ -244,7 +244,7 @@
 const LIMIT_FOR_MS: readonly [number, number] = [4000, 9000];
 
 /** Lets a worker announce a limit for a while, at most until `until`. */
-export async function limiting(d: Deps, until: number): Promise<void> {
+export async function announceLimit(d: Deps, until: number): Promise<void> {
   const { worker } = d.draw.one(d.site.places);
   worker.limitPerS = Math.round(d.draw.between(...LIMIT_PER_S) * 10) / 10;
   const ms = d.draw.between(...LIMIT_FOR_MS);
@@ -259,7 +259,7 @@
 const LEAVE_DELAY_MS: readonly [number, number] = [100, 1200];
 
 /** Lets a worker leave while the store is unavailable, so that only the worker's answers announce it. */
-export async function unheard(
+export async function leaveDuringStoreOutage(
   d: Deps,
   strike: (f: Fault) => Promise<void> | undefined,
 ): Promise<void> {
@@ -276,21 +276,21 @@
 const PAUSES_FOR_MS: readonly [number, number] = [2000, 6000];
 
 /** Lets some workers of a service shed requests and ask for pauses for a while, at most until `until`. */
-export async function pausing(d: Deps, until: number): Promise<void> {
+export async function requestPauses(d: Deps, until: number): Promise<void> {
   const all = d.draw.part() < ALL_WORKERS_SHARE;
   const { service } = d.draw.one(d.site.places).worker;
   const struck = d.site.places
     .map((p) => p.worker)
-    .filter((w) => w.service === service && w.mood === "well" && (all || d.draw.part() < 0.5));
+    .filter((w) => w.service === service && w.behavior === "well" && (all || d.draw.part() < 0.5));
   for (const w of struck) {
-    w.mood = "shedding";
+    w.behavior = "shedding";
     w.shedPart = d.draw.between(...SHED_SHARE);
     w.pauseS = Math.round(d.draw.between(...PAUSE_S) * 10) / 10;
   }
   const ms = d.draw.between(...PAUSES_FOR_MS);
   await timers.setTimeout(Math.max(0, Math.min(ms, until - performance.now())));
   for (const w of struck) {
-    if (w.mood === "shedding") w.mood = "well";
+    if (w.behavior === "shedding") w.behavior = "well";
     w.pauseS = undefined;
   }
 }
@@ -309,7 +309,7 @@
   stopFault("endpoint daemon", endpoints),
   {
     name: "settings changed",
-    lasts: [10, 50],
+    durationMs: [10, 50],
     begin: (d) => {
       const daemon = drawRunning(d, [...d.site.entries, ...d.site.endpoints]);
       daemon?.reload();
@@ -321,7 +321,7 @@
   ),
   {
     name: "worker crashes",
-    lasts: [200, 2000],
+    durationMs: [200, 2000],
     begin: (d) => {
       const place = d.draw.one(d.site.places);
       const { instance } = place.worker;
@@ -334,14 +334,14 @@
   },
   linkFault("delays", (d, p) => {
     const ms = d.draw.between(20, 250);
-    for (const x of [p.proxy, p.seats]) x?.set({ kind: "delay", ms });
+    for (const x of [p.proxy, p.seats]) x?.setFault({ kind: "delay", ms });
   }),
   linkFault("is silent", (_d, p) => {
-    for (const x of [p.proxy, p.seats]) x?.set({ kind: "silence" });
+    for (const x of [p.proxy, p.seats]) x?.setFault({ kind: "silence" });
   }),
   linkFault("is cut one way", (d, p) => {
     const hold = d.draw.one(["requests", "answers"] as const);
-    for (const x of [p.proxy, p.seats]) x?.set({ kind: "one_way", hold });
+    for (const x of [p.proxy, p.seats]) x?.setFault({ kind: "one_way", hold });
   }),
   linkFault("is reset", (d, p) => {
     for (const x of [p.proxy, p.seats]) x?.reset(0.6, d.draw.part);
@@ -361,21 +361,21 @@
   }),
   {
     name: "store out of reach of one",
-    lasts: [500, 5000],
+    durationMs: [500, 5000],
     begin: (d) => {
       const [name, proxy] = d.draw.one([...d.site.storeLinks]);
-      proxy.set({ kind: "silence" });
+      proxy.setFault({ kind: "silence" });
       return {
         on: [history.storeLink(name)],
         end: () => {
-          proxy.set({ kind: "none" });
+          proxy.setFault({ kind: "none" });
         },
       };
     },
   },
   {
     name: "entries lapse",
-    lasts: [500, 2500],
+    durationMs: [500, 2500],
     begin: (d) => {
       d.site.store.faults.mode = "busy";
       const lost = d.site.places.filter(() => d.draw.part() < 0.5);
@@ -392,7 +392,7 @@
 ];
 
 /** Makes a change as an operator does. It is not recorded as a disturbance, so it excuses nothing. */
-export function operate(d: Deps): void {
+export function applyOperatorChange(d: Deps): void {
   if (d.draw.part() < 0.5) {
     d.site.declare(d.draw.one(ADAPTERS));
     return;
--- a/bench/soak/history.ts
+++ b/bench/soak/history.ts
@@ -15,7 +15,7 @@
 export type Kind = "stream" | "stream_once" | "call" | "call_once";
 
 /** One request as its caller saw it. */
-export interface Seen {
+export interface RequestRecord {
   readonly id: string;
   readonly kind: Kind;
   readonly entry: string;
@@ -55,7 +55,7 @@
 
 /** The record of a run. */
 export interface History {
-  readonly seen: Seen[];
+  readonly seen: RequestRecord[];
   readonly kept: journals.Journal;
   readonly disturbances: disturbances.Disturbance[];
   readonly changes: Change[];
@@ -98,7 +98,7 @@
 /** Whether an entry daemon may have been unable to read the store or to run at some time in the interval. */
 function outOfTouch(h: History, entry: string, from: number, to: number): boolean {
   const parts = new Set(["store", entry, storeLink(entry)]);
-  return disturbances.any(h.disturbances, from, to, (d) => parts.has(d.on));
+  return disturbances.anyDisturbed(h.disturbances, from, to, (d) => parts.has(d.on));
 }
 
 /** Name under which disturbances of the link between a daemon and the store are recorded. */
@@ -107,25 +107,25 @@
 }
 
 /** Whether the text is the complete answer to the request. */
-function isWhole(s: Seen, text: string): boolean {
-  if (s.adapter === "") return text === workers.answerOf(s.id, s.body);
+function isWhole(s: RequestRecord, text: string): boolean {
+  if (s.adapter === "") return text === workers.answerText(s.id, s.body);
   const version = Number(/@(\d+) /.exec(text)?.[1]);
-  const events = Array.from({ length: workers.EVENTS }, (_, i) => i + 1);
-  const pattern = events.map((n) => workers.event(s.id, s.adapter, version, n)).join("");
+  const events = Array.from({ length: workers.EVENTS_PER_STREAM }, (_, i) => i + 1);
+  const pattern = events.map((n) => workers.eventText(s.id, s.adapter, version, n)).join("");
   // A resumed stream may continue with a newer version of the adapter.
   const plain = (t: string): string => t.replaceAll(/@\d+ /g, "@ ");
   return plain(text) === plain(pattern);
 }
 
 /** Whether the text is the beginning of the answer to this request. */
-function isBeginning(s: Seen, text: string): boolean {
-  if (s.adapter === "") return workers.answerOf(s.id, s.body).startsWith(text);
+function isBeginning(s: RequestRecord, text: string): boolean {
+  if (s.adapter === "") return workers.answerText(s.id, s.body).startsWith(text);
   const events = text.split("\n\n").slice(0, -1);
   return events.every((e, i) => e.startsWith(`id: ${i + 1}\ndata: ${s.id} ${s.adapter}@`));
 }
 
 /** Returns what is wrong with a request, or undefined. The function's name is the rule's name in the output. */
-type Check = (s: Seen, runs: readonly journals.Run[], h: History) => string | undefined;
+type Check = (s: RequestRecord, runs: readonly journals.Run[], h: History) => string | undefined;
 
 const CHECKS: readonly Check[] = [
   function whole(s) {
@@ -143,7 +143,7 @@
   },
   function attempts(s, runs, h) {
     const ends = runs.some((r) =>
-      disturbances.any(h.disturbances, r.at, r.at + s.waitMs, (d) => d.on === r.instance),
+      disturbances.anyDisturbed(h.disturbances, r.at, r.at + s.waitMs, (d) => d.on === r.instance),
     );
     return !ends && runs.length > ATTEMPTS[s.kind] ? `ran on ${runs.length} workers` : undefined;
   },
@@ -156,14 +156,14 @@
     const old = runs.find((r) => r.adapter !== "" && r.version < s.version);
     if (!old || outOfTouch(h, s.entry, s.sentAt - VERSION_MS, s.endedAt)) return undefined;
     const isAtPlace = (d: disturbances.Disturbance): boolean => old.instance.startsWith(`${d.on}.`);
-    if (disturbances.any(h.disturbances, s.sentAt - VERSION_MS, s.endedAt, isAtPlace))
+    if (disturbances.anyDisturbed(h.disturbances, s.sentAt - VERSION_MS, s.endedAt, isAtPlace))
       return undefined;
     return `ran on version ${old.version}, though ${s.version} was declared long before`;
   },
   function late(s, _runs, h) {
     if (s.end.kind === "left" || s.endedAt - s.sentAt < s.waitMs + LATE_TOLERANCE_MS)
       return undefined;
-    if (disturbances.any(h.disturbances, s.sentAt, s.endedAt, (d) => d.on === s.entry))
+    if (disturbances.anyDisturbed(h.disturbances, s.sentAt, s.endedAt, (d) => d.on === s.entry))
       return undefined;
     return `ended after ${Math.round(s.endedAt - s.sentAt)} ms, with a deadline of ${s.waitMs} ms`;
   },
@@ -175,7 +175,7 @@
     if (s.endedAt - s.sentAt >= s.waitMs - EARLY_TOLERANCE_MS) return undefined;
     const struck = (d: disturbances.Disturbance): boolean =>
       (d.on === s.entry && !PLANNED_WORK.test(d.kind)) || runs.some((r) => r.instance === d.on);
-    return disturbances.any(h.disturbances, s.sentAt, s.endedAt, struck)
+    return disturbances.anyDisturbed(h.disturbances, s.sentAt, s.endedAt, struck)
       ? undefined
       : `was interrupted: ${s.end.why}`;
   },
@@ -205,7 +205,7 @@
     return undefined;
   },
   function key(s, runs, h) {
-    return teams.check(h.teams, s, runs);
+    return teams.keyViolation(h.teams, s, runs);
   },
   function gone(s, runs, h) {
     if (s.end.kind !== "left") return undefined;
@@ -214,7 +214,9 @@
     const parts = new Set([s.entry, on?.instance, on && disturbances.placeOf(on.instance)]);
     if (
       !on ||
-      disturbances.any(h.disturbances, s.sentAt, s.endedAt + CANCEL_MS, (d) => parts.has(d.on))
+      disturbances.anyDisturbed(h.disturbances, s.sentAt, s.endedAt + CANCEL_MS, (d) =>
+        parts.has(d.on),
+      )
     )
       return undefined;
     return `caller disconnected, but ${on.instance} kept working`;
@@ -256,10 +258,15 @@
   );
   const ran = unasked.map((id) => `unasked: ${id} ran`);
   const anyOutOfTouch = (from: number, to: number): boolean =>
-    disturbances.any(h.disturbances, from, to, (d) => d.on === "store" || d.on.startsWith("entry"));
-  const beyond = teams.beyondCap(h.teams, h.seen, runs, anyOutOfTouch);
+    disturbances.anyDisturbed(
+      h.disturbances,
+      from,
+      to,
+      (d) => d.on === "store" || d.on.startsWith("entry"),
+    );
+  const beyond = teams.capViolations(h.teams, h.seen, runs, anyOutOfTouch);
   const sent = h.seen.map((s) => ({ service: serviceOf(s), at: s.sentAt }));
-  const retried = retries.beyondBudget(sent, h.kept.arrivals);
+  const retried = retries.budgetViolations(sent, h.kept.arrivals);
   return [
     ...h.faults,
     ...h.kept.faults,
@@ -272,17 +279,17 @@
   ];
 }
 
-function serviceOf(s: Seen): string {
+function serviceOf(s: RequestRecord): string {
   return s.kind === "stream" || s.kind === "stream_once" ? site.ENGINES : site.PLAIN;
 }
 
 /** How a request ended: the status of its answer, or `broken` or `left`. */
-export function ending(s: Seen): string {
+export function ending(s: RequestRecord): string {
   return s.end.kind === "answer" ? String(s.end.status) : s.end.kind;
 }
 
 /** Whether a request should be served: its route and API key are in force, and its team is within its cap. */
-function mustBeServed(h: History, s: Seen): boolean {
+function mustBeServed(h: History, s: RequestRecord): boolean {
   const end = ending(s);
   // A wrong 404 is reported by the `route` check.
   if (end === "429" || (end === "404" && !STATIC_PATHS.has(s.path))) return false;
@@ -290,7 +297,7 @@
 }
 
 /** Share of the requests sent after `from` that were served, of those that should be. */
-export function served(h: History, from: number): number {
+export function servedShare(h: History, from: number): number {
   const late = h.seen.filter(
     (s) => s.sentAt > from && s.end.kind !== "left" && s.path !== "/x/" && mustBeServed(h, s),
   );
--- a/bench/soak/notices.ts
+++ b/bench/soak/notices.ts
@@ -20,13 +20,13 @@
       : [],
   );
   return [
-    ...limits.beyond(arrivals, (a) => countsAgainstLimit(h, a)),
-    ...notices.reachedLeaving(arrivals, sent, told, daemons.DRAIN_MS, (entry, _by, from, to) =>
+    ...limits.limitViolations(arrivals, (a) => countsAgainstLimit(h, a)),
+    ...notices.leavingViolations(arrivals, sent, told, daemons.DRAIN_MS, (entry, _by, from, to) =>
       ranThroughout(h, entry, from, to),
     ),
-    ...notices.reachedPaused(arrivals, sent, (entry, by, from, to) => {
+    ...notices.pauseViolations(arrivals, sent, (entry, by, from, to) => {
       const parts = new Set([entry, disturbances.placeOf(by)]);
-      return !disturbances.any(h.disturbances, from, to, (d) => parts.has(d.on));
+      return !disturbances.anyDisturbed(h.disturbances, from, to, (d) => parts.has(d.on));
     }),
   ];
 }
@@ -41,7 +41,11 @@
   const entry = h.seen.find((s) => s.id === a.id)?.entry;
   if (entry === undefined) return false;
   const parts = new Set([entry, disturbances.placeOf(a.instance)]);
-  if (disturbances.any(h.disturbances, a.at - limits.BINDS_MS, a.at, (d) => parts.has(d.on)))
+  if (
+    disturbances.anyDisturbed(h.disturbances, a.at - limits.LIMIT_GRACE_MS, a.at, (d) =>
+      parts.has(d.on),
+    )
+  )
     return false;
   const before = h.disturbances.filter((d) => d.on === entry && d.to <= a.at).map((d) => d.to);
   const since = Math.max(0, ...before);
@@ -49,7 +53,7 @@
     (s) =>
       s.entry === entry &&
       s.sentAt >= since &&
-      s.endedAt + limits.TOLD_MS <= a.at &&
+      s.endedAt + limits.PROPAGATION_MS <= a.at &&
       s.end.kind === "answer" &&
       s.end.by === a.instance &&
       s.end.limitPerS === a.limitPerS,
--- a/bench/soak/proxy.ts
+++ b/bench/soak/proxy.ts
@@ -6,7 +6,7 @@
 import * as net from "node:net";
 
 /** Fault of a link. */
-export type Trouble =
+export type LinkFault =
   | { readonly kind: "none" }
   /** Each chunk is delayed by `ms` milliseconds. */
   | { readonly kind: "delay"; readonly ms: number }
@@ -23,7 +23,7 @@
 
 /** Forwards connections from one port to another address. */
 export class Proxy {
-  private fault: Trouble = { kind: "none" };
+  private fault: LinkFault = { kind: "none" };
   private readonly pairs = new Set<Pair>();
   private readonly resumeListeners = new Set<() => void>();
   private readonly server = net.createServer((near) => {
@@ -51,7 +51,7 @@
   }
 
   /** Sets the fault of the link, for existing and new connections. */
-  set(fault: Trouble): void {
+  setFault(fault: LinkFault): void {
     this.fault = fault;
     for (const go of this.resumeListeners) go();
   }
--- a/bench/soak/retries.ts
+++ b/bench/soak/retries.ts
@@ -8,10 +8,10 @@
 import * as daemons from "./daemon.js";
 
 const MS_PER_S = 1000;
-const BUDGET: rule.Bounds = {
-  windowMs: daemons.RETRIES.windowS * MS_PER_S,
-  ratio: daemons.RETRIES.ratio,
-  slack: daemons.RETRIES.slack,
+const BUDGET: rule.RetryBudget = {
+  windowMs: daemons.RETRY_BUDGET.windowS * MS_PER_S,
+  ratio: daemons.RETRY_BUDGET.ratio,
+  slack: daemons.RETRY_BUDGET.slack,
 };
 
 /** A request to a service, and the monotonic time in ms at which its caller sent it. */
@@ -24,7 +24,7 @@
  * One line for each service that got too many retries in some window. Every arrival of a request after its first counts as a
  * retry.
  */
-export function beyondBudget(
+export function budgetViolations(
   sent: readonly Sent[],
   arrivals: readonly journals.Arrival[],
 ): readonly string[] {
@@ -33,7 +33,7 @@
     const own = sent.filter((s) => s.service === service);
     const times = own.map((s) => s.at).sort((a, b) => a - b);
     const further = retryTimes(arrivals.filter((a) => a.service === service));
-    const worst = rule.worst(times, further, BUDGET);
+    const worst = rule.worstWindow(times, further, BUDGET);
     if (!worst || worst.retries <= worst.allowed) return [];
     const counts = `${worst.retries} retries in ${BUDGET.windowMs} ms, allowed ${worst.allowed}`;
     return [`retries: ${service} got ${counts}`];
--- a/bench/soak/run.ts
+++ b/bench/soak/run.ts
@@ -77,7 +77,7 @@
 /** Runs the soak once and returns the record of the run. */
 export async function run(plan: Plan): Promise<history.History> {
   const soakFaults: string[] = [];
-  const teamState = teams.begin(performance.now());
+  const teamState = teams.createTeams(performance.now());
   const s = new site.Site(
     plan.size,
     plan.main,
@@ -87,14 +87,14 @@
   );
   const h: history.History = {
     seen: [],
-    kept: s.kept,
+    kept: s.journal,
     disturbances: [],
     changes: [],
     teams: teamState,
     faults: soakFaults,
   };
   const declared: { adapter: string; version: number; at: number }[] = [];
-  s.ended = (instance) => {
+  s.onWorkerCrash = (instance) => {
     const now = performance.now();
     h.disturbances.push({ kind: "request ends worker", on: instance, from: now, to: now });
   };
@@ -119,7 +119,7 @@
   stopCallers.abort();
   await Promise.all(callers);
   await s.stop();
-  const share = history.served(h, recoveredAt);
+  const share = history.servedShare(h, recoveredAt);
   if (share < MIN_SERVED_SHARE)
     soakFaults.push(`recovery: ${Math.round(share * 100)} of 100 served at the end`);
   return h;
@@ -131,9 +131,9 @@
   keys: Draw,
   h: history.History,
   declared: readonly { adapter: string; version: number; at: number }[],
-): caller.World {
+): caller.Environment {
   let count = 0;
-  const wish = (): caller.Wish => {
+  const nextRequest = (): caller.RequestPlan => {
     const kind = draw.one(["stream", "stream", "stream_once", "call", "call_once"] as const);
     const adapter = kind.startsWith("stream") ? drawAdapter(draw) : "";
     const extra = kind === "call" && draw.part() < 0.3;
@@ -151,15 +151,15 @@
     };
   };
   return {
-    wish,
+    nextRequest,
     entry: () => {
       const at = draw.one(s.inRotation());
       return { name: at.plan.name, address: at.callers };
     },
     pauseMs: () => draw.between(20, 200),
-    saw: (seen) => h.seen.push(seen),
+    record: (seen) => h.seen.push(seen),
     nextId: () => `r${count++}`,
-    key: () => teams.keyFor(h.teams, keys),
+    key: () => teams.pickKey(h.teams, keys),
   };
 }
 
@@ -207,7 +207,7 @@
   const records = active.on.map((name) => ({ kind: fault.name, on: name, from, to: Infinity }));
   d.history.disturbances.push(...records);
   return (async () => {
-    await timers.setTimeout(d.draw.between(...fault.lasts));
+    await timers.setTimeout(d.draw.between(...fault.durationMs));
     await active.end();
     for (const n of records) n.to = performance.now();
   })();
@@ -223,7 +223,7 @@
 async function shedRepeatedly(d: faults.Deps, until: number): Promise<void> {
   if (!isInShare(d, SHED_SHARE)) return;
   while (performance.now() < until) {
-    await faults.shedding(d, (fault) => inject(d, fault));
+    await faults.shedDuringRestarts(d, (fault) => inject(d, fault));
     await timers.setTimeout(d.draw.between(...SHED_INTERVAL_MS));
   }
 }
@@ -233,7 +233,7 @@
   if (!isInShare(d, FATAL_SHARE)) return;
   while (performance.now() < until) {
     await timers.setTimeout(d.draw.between(...FATAL_INTERVAL_MS));
-    await faults.fatal(d);
+    await faults.repeatFatalRequest(d);
   }
 }
 
@@ -242,7 +242,7 @@
   if (!isInShare(d, LIMIT_SHARE)) return;
   const one = async (): Promise<void> => {
     while (performance.now() < until) {
-      await faults.limiting(d, until);
+      await faults.announceLimit(d, until);
       await timers.setTimeout(d.draw.between(...LIMIT_INTERVAL_MS));
     }
   };
@@ -253,7 +253,7 @@
 async function pauseRepeatedly(d: faults.Deps, until: number): Promise<void> {
   if (!isInShare(d, PAUSE_SHARE)) return;
   while (performance.now() < until) {
-    await faults.pausing(d, until);
+    await faults.requestPauses(d, until);
     await timers.setTimeout(d.draw.between(...PAUSE_INTERVAL_MS));
   }
 }
@@ -262,7 +262,7 @@
 async function leaveRepeatedly(d: faults.Deps, until: number): Promise<void> {
   if (!isInShare(d, OUTAGE_LEAVE_SHARE)) return;
   while (performance.now() < until) {
-    await faults.unheard(d, (fault) => inject(d, fault));
+    await faults.leaveDuringStoreOutage(d, (fault) => inject(d, fault));
     await timers.setTimeout(d.draw.between(...OUTAGE_LEAVE_INTERVAL_MS));
   }
 }
@@ -278,7 +278,7 @@
     await timers.setTimeout(draw.between(...TEAM_CHANGE_INTERVAL_MS));
     const now = performance.now();
     if (draw.part() < CAP_SHARE) teams.toggleCap(teamState, now);
-    else teams.rotate(teamState, draw.one, now);
+    else teams.rotateKey(teamState, draw.one, now);
     s.configure();
   }
 }
@@ -292,7 +292,7 @@
   while (performance.now() < until) {
     await timers.setTimeout(d.draw.between(...OPERATOR_INTERVAL_MS));
     const before = new Map(d.site.newest);
-    faults.operate(d);
+    faults.applyOperatorChange(d);
     for (const [adapter, version] of d.site.newest) {
       if (before.get(adapter) !== version)
         declared.push({ adapter, version, at: performance.now() });
--- a/bench/soak/site.ts
+++ b/bench/soak/site.ts
@@ -56,7 +56,7 @@
 /** All parts of a run but the callers. */
 export class Site {
   readonly store = new stores.Store();
-  readonly kept = journals.journal();
+  readonly journal = journals.createJournal();
   readonly newest = new Map<string, number>();
   readonly places: Place[] = [];
   readonly entries: daemons.Daemon[] = [];
@@ -72,7 +72,7 @@
   private hosts = 0;
   private stopped = false;
   /** Called when a request has crashed a worker. */
-  ended: (instance: string) => void = () => undefined;
+  onWorkerCrash: (instance: string) => void = () => undefined;
 
   constructor(
     private readonly size: Size,
@@ -93,7 +93,7 @@
   async start(): Promise<void> {
     await this.store.start();
     this.configure([]);
-    const seatPort = await freePorts.free();
+    const seatPort = await freePorts.findFree();
     for (let i = 0; i < this.size.engines; i++) await this.addEngine(i, seatPort);
     for (let i = 0; i < this.size.plain; i++) await this.addPlain(i);
     for (let i = 0; i < this.size.entries; i++) await this.addEntry(i, seatPort);
@@ -122,14 +122,14 @@
   configure(extra: readonly documents.Route[] = this.extra): void {
     this.extra = extra;
     this.version += 1 + (this.version % 3);
-    const services = [documents.engines(ENGINES, SLOTS), documents.plain(PLAIN)];
+    const services = [documents.engineService(ENGINES, SLOTS), documents.plainService(PLAIN)];
     this.store.put(
       "op/config",
       documents.config(
         this.version,
         [...ROUTES, ...extra],
         services,
-        this.teams && teams.listed(this.teams),
+        this.teams && teams.toDocuments(this.teams),
       ),
     );
   }
@@ -161,7 +161,7 @@
   register(p: Place): void {
     const { service, instance, name, born } = p.worker;
     const state = this.leaving.has(instance) ? "draining" : "ready";
-    this.store.put(`servers/${name}`, documents.entry(service, p.address, state, born));
+    this.store.put(`servers/${name}`, documents.workerEntry(service, p.address, state, born));
   }
 
   /** Makes a worker announce that it leaves, in its entry and in its answers. */
@@ -200,7 +200,7 @@
     const p = this.places.find((x) => x.worker === worker);
     if (!p || this.stopped) return;
     this.end(p);
-    this.ended(worker.instance);
+    this.onWorkerCrash(worker.instance);
     setTimeout(() => {
       if (!this.stopped) void this.restart(p, worker.instance);
     }, BACK_MS);
@@ -209,17 +209,17 @@
   private createWorker(name: string, engine: boolean): workers.Engine | workers.Plain {
     const worker = this.createInstance(`${name}.${this.started++}`, engine);
     if (reportsStart(name)) worker.born = Date.now();
-    worker.ended = () => {
+    worker.onCrash = () => {
       this.restartLater(worker);
     };
     return worker;
   }
 
   private createInstance(instance: string, engine: boolean): workers.Engine | workers.Plain {
-    if (!engine) return new workers.Plain(PLAIN, instance, this.kept);
-    const worker = new workers.Engine(ENGINES, instance, this.kept, SLOTS, this.newest);
+    if (!engine) return new workers.Plain(PLAIN, instance, this.journal);
+    const worker = new workers.Engine(ENGINES, instance, this.journal, SLOTS, this.newest);
     worker.eventMs = EVENT_MS;
-    worker.slow = { adapter: SLOW_ADAPTER, eventMs: SLOW_EVENT_MS };
+    worker.slowAdapter = { adapter: SLOW_ADAPTER, eventMs: SLOW_EVENT_MS };
     return worker;
   }
 
@@ -273,7 +273,7 @@
       ip,
       seatPort,
       store: await this.addStoreLink(`entry-${i}`),
-      ports: [await freePorts.free(ip), await freePorts.free(ip)],
+      ports: [await freePorts.findFree(ip), await freePorts.findFree(ip)],
     };
     this.entries.push(new daemons.Daemon(plan, this.main, this.folder, this.fault));
   }
--- a/bench/soak/teams.ts
+++ b/bench/soak/teams.ts
@@ -50,7 +50,7 @@
 const UNKNOWN = "k-unknown";
 
 /** The teams at the start of a run: two keys each, and the high cap. */
-export function begin(now: number): Teams {
+export function createTeams(now: number): Teams {
   const key = (team: string, n: number): Key => ({
     key: `k-${team}-${n}`,
     team,
@@ -64,7 +64,7 @@
 }
 
 /** The teams as listed in a configuration document. */
-export function listed(t: Teams): readonly object[] {
+export function toDocuments(t: Teams): readonly object[] {
   const perS = t.caps.at(-1)?.perS ?? HIGH_CAP;
   const cap = { unit: "token_rate", plainTokens: CALL_TOKENS, ratePerS: perS, burst: perS };
   return [UNCAPPED, CAPPED].map((name) => ({
@@ -75,7 +75,7 @@
 }
 
 /** Revokes a key and gives its team a new one. */
-export function rotate(t: Teams, draw: <T>(list: readonly T[]) => T, now: number): void {
+export function rotateKey(t: Teams, draw: <T>(list: readonly T[]) => T, now: number): void {
   const old = draw(t.keys.filter((k) => k.until === Infinity));
   old.until = now;
   const key = `k-${old.team}-${t.keys.length + 1}`;
@@ -93,7 +93,7 @@
 const REVOKED_KEY_SHARE = 0.8;
 
 /** Draws the key for a request: valid, revoked or unknown. */
-export function keyFor(
+export function pickKey(
   t: Teams,
   draw: { readonly part: () => number; readonly one: <T>(list: readonly T[]) => T },
 ): string {
@@ -105,9 +105,9 @@
 }
 
 /** Describes how a request's treatment violates the rules for its key; undefined if it does not. */
-export function check(
+export function keyViolation(
   t: Teams,
-  s: history.Seen,
+  s: history.RequestRecord,
   runs: readonly journals.Run[],
 ): string | undefined {
   const key = t.keys.find((k) => k.key === s.key);
@@ -126,9 +126,9 @@
 }
 
 /** One line for each window in which the capped team ran more tokens than its cap allows. */
-export function beyondCap(
+export function capViolations(
   t: Teams,
-  seen: readonly history.Seen[],
+  seen: readonly history.RequestRecord[],
   runs: ReadonlyMap<string, readonly journals.Run[]>,
   outOfTouch: (from: number, to: number) => boolean,
 ): readonly string[] {
--- a/test/platform/asking.ts
+++ b/test/platform/asking.ts
@@ -74,12 +74,12 @@
 }
 
 /** The entry host and the time of each request, by request id. */
-export function sent(answers: readonly Answer[]): ReadonlyMap<string, notices.Sent> {
+export function sent(answers: readonly Answer[]): ReadonlyMap<string, notices.SentRequest> {
   return new Map(answers.map((a) => [a.id, { entry: a.entry, at: a.sentAt }]));
 }
 
 /** The answers by which entry hosts passed on that a worker is leaving. */
-export function told(answers: readonly Answer[]): readonly notices.Told[] {
+export function told(answers: readonly Answer[]): readonly notices.PassedOnNotice[] {
   return answers
     .filter((a) => a.leaving)
     .map((a) => ({ entry: a.entry, instance: a.by, at: a.endedAt }));
--- a/test/platform/crashing.test.ts
+++ b/test/platform/crashing.test.ts
@@ -41,7 +41,7 @@
   async function repeat(at: string, attempts: number): Promise<readonly number[]> {
     const statuses: number[] = [];
     for (let n = 0; n < attempts; n++) {
-      statuses.push(await ask(`fatal${at}${n}`, n, at, `${bases.FATAL} ${at}`));
+      statuses.push(await ask(`fatal${at}${n}`, n, at, `${bases.CRASH_MARKER} ${at}`));
       await timers.setTimeout(PAUSE_MS);
     }
     return statuses;
@@ -73,19 +73,19 @@
     ["a call that may not", "/n/"],
   ] as const) {
     it(`is sent to no worker after the third crash: ${kind}`, async () => {
-      const before = site.kept.crashes.length;
+      const before = site.journal.crashes.length;
       await repeat(at, ATTEMPTS);
       // Its workers are back, and serve other requests.
       await untilServed(at);
       await timers.setTimeout(soak.BACK_MS);
       expect(await repeat(at, 2)).deep.equal([503, 503]);
-      expect(site.kept.crashes.length - before).within(1, MAX_CRASHES);
+      expect(site.journal.crashes.length - before).within(1, MAX_CRASHES);
       expect(faults).deep.equal([]);
     }).timeout(30_000);
   }
 
   it("is sent to none after all daemons have restarted, until an operator releases it", async () => {
-    const before = site.kept.crashes.length;
+    const before = site.journal.crashes.length;
     const kept = (): readonly string[] =>
       [...site.store.items.keys()].filter((k) => k.startsWith(quarantine.PREFIX));
     for (let n = 0; kept().length < 3 && n < 100; n++) await timers.setTimeout(50);
@@ -95,11 +95,11 @@
     await site.untilReady();
     await untilServed("/s/");
     expect(await repeat("/s/", 4)).deep.equal([503, 503, 503, 503]);
-    expect(site.kept.crashes.length).equal(before);
+    expect(site.journal.crashes.length).equal(before);
     expect(kept()).length(3);
     for (const key of kept()) site.store.remove(key);
     await timers.setTimeout(1500);
     expect(await repeat("/n/", 1)).deep.equal([502]);
-    expect(site.kept.crashes.length).equal(before + 1);
+    expect(site.journal.crashes.length).equal(before + 1);
   }).timeout(30_000);
 });
--- a/test/platform/entries.test.ts
+++ b/test/platform/entries.test.ts
@@ -10,7 +10,7 @@
 
 const { expect } = chai;
 
-const GOOD = standin.entry("llm", "10.0.0.1:80") as Readonly<Record<string, unknown>>;
+const GOOD = standin.workerEntry("llm", "10.0.0.1:80") as Readonly<Record<string, unknown>>;
 const GOOD_KEY = `${platform.WORKERS_PREFIX}good`;
 const BAD_KEY = `${platform.WORKERS_PREFIX}bad`;
 
--- a/test/platform/following.test.ts
+++ b/test/platform/following.test.ts
@@ -37,7 +37,7 @@
     await store.start();
     store.faults.mode = "well";
     store.unanswered = 0;
-    store.put(KEY, documents.entry("llm", "127.0.0.1:1"));
+    store.put(KEY, documents.workerEntry("llm", "127.0.0.1:1"));
     source = new client.Store(store.address);
     followed = new feed.Feed({
       clock: clock.system,
@@ -68,7 +68,7 @@
   /** Milliseconds from the change in the store, that the endpoint leaves, until it is in the catalog. */
   async function propagationMs(): Promise<number> {
     const from = performance.now();
-    store.put(KEY, documents.entry("llm", "127.0.0.1:1", "draining"));
+    store.put(KEY, documents.workerEntry("llm", "127.0.0.1:1", "draining"));
     await until(leaving);
     return performance.now() - from;
   }
@@ -94,7 +94,7 @@
     await until(() => followed.catalog.revision > revision);
     const from = performance.now();
     store.faults.mode = "silent";
-    store.put(KEY, documents.entry("llm", "127.0.0.1:1", "draining"));
+    store.put(KEY, documents.workerEntry("llm", "127.0.0.1:1", "draining"));
     await until(() => store.unanswered > 0);
     store.faults.mode = "well";
     await until(leaving);
--- a/test/platform/notices.test.ts
+++ b/test/platform/notices.test.ts
@@ -65,8 +65,8 @@
     answers.filter((a) => a.status === 200).length / answers.length;
 
   const late = (answers: readonly asking.Answer[]): readonly string[] =>
-    notices.reachedLeaving(
-      site.kept.arrivals,
+    notices.leavingViolations(
+      site.journal.arrivals,
       asking.sent(answers),
       asking.told(answers),
       daemons.DRAIN_MS,
@@ -116,35 +116,35 @@
 
   it("gets two requests at most from each host within a pause that it asked that host for", async () => {
     for (const { worker } of site.places) {
-      worker.mood = "shedding";
+      worker.behavior = "shedding";
       worker.shedPart = 0.5;
       worker.pauseS = 1.5;
     }
     const answers = await load(6000);
-    expect(notices.reachedPaused(site.kept.arrivals, asking.sent(answers))).deep.equal([]);
+    expect(notices.pauseViolations(site.journal.arrivals, asking.sent(answers))).deep.equal([]);
     expect([...new Set(answers.map((a) => a.status))].sort()).deep.equal([200, 503]);
     expect(faults).deep.equal([]);
   }).timeout(40_000);
 
   it("is skipped while it asks for a pause, and callers are served by others", async () => {
     for (const { worker } of two()) {
-      worker.mood = "shedding";
+      worker.behavior = "shedding";
       worker.pauseS = 3;
     }
     const answers = await load(8000);
-    expect(notices.reachedPaused(site.kept.arrivals, asking.sent(answers))).deep.equal([]);
+    expect(notices.pauseViolations(site.journal.arrivals, asking.sent(answers))).deep.equal([]);
     expect(served(answers)).above(0.99);
     expect(faults).deep.equal([]);
   }).timeout(40_000);
 
   it("gets nothing if all workers ask for a pause, and callers are told at once when to retry", async () => {
     for (const { worker } of site.places) {
-      worker.mood = "shedding";
+      worker.behavior = "shedding";
       worker.shedPart = 1;
       worker.pauseS = 2.5;
     }
     const answers = await load(6000);
-    expect(notices.reachedPaused(site.kept.arrivals, asking.sent(answers))).deep.equal([]);
+    expect(notices.pauseViolations(site.journal.arrivals, asking.sent(answers))).deep.equal([]);
     const first = answers[0]?.sentAt ?? 0;
     const refused = answers.filter((a) => a.sentAt > first + 1000 && a.sentAt < first + 2000);
     expect([...new Set(refused.map((a) => a.status))]).deep.equal([503]);
--- a/test/platform/processes.test.ts
+++ b/test/platform/processes.test.ts
@@ -28,7 +28,7 @@
 /** A configuration with one route, to the worker's service. */
 function configOf(version: number, prefix: string): object {
   const route = { name: "captions", prefix, kind: "streaming" as const, service: "llm" };
-  return documents.config(version, [route], [documents.engines("llm", 2)]);
+  return documents.config(version, [route], [documents.engineService("llm", 2)]);
 }
 
 /** A daemon that runs as a process of its own, with the log lines it wrote. */
@@ -58,7 +58,7 @@
 
 describe("daemons on the platform", () => {
   const store = new stores.Store();
-  const journal = journals.journal();
+  const journal = journals.createJournal();
   const worker = new workers.Engine("llm", "i-1", journal, 2);
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "sumacfield-"));
   let ports: readonly number[] = [];
@@ -125,8 +125,8 @@
     await store.start();
     await worker.start();
     store.put("op/config", configOf(1, "/c/"));
-    store.put(`servers/${worker.instance}`, documents.entry("llm", worker.address));
-    ports = await Promise.all([freePorts.free(), freePorts.free(), freePorts.free()]);
+    store.put(`servers/${worker.instance}`, documents.workerEntry("llm", worker.address));
+    ports = await Promise.all([freePorts.findFree(), freePorts.findFree(), freePorts.findFree()]);
     const listen = { front: `127.0.0.1:${ports[0]}`, ready: `127.0.0.1:${ports[1]}` };
     entry = startDaemon("entry", settingsFile("entry-1", { listen }));
     endpoint = startDaemon(
@@ -150,7 +150,7 @@
     expect(res.headers["x-sumacfield-server-signature"]).equal(worker.instance);
     const text = await res.body.text();
     expect(text.match(/data: r1 a1@1 \d/g)).length(5);
-    expect(worker.held.has("a1")).equal(true);
+    expect(worker.adapters.has("a1")).equal(true);
   });
 
   it("serve more adapters than the engine has slots, one after the other", async () => {
@@ -158,7 +158,7 @@
       const res = await ask(`s-${adapter}`, adapter);
       expect(await res.body.text()).include(`${adapter}@1 5 of 5`);
     }
-    expect(worker.held.size).most(2);
+    expect(worker.adapters.size).most(2);
   });
 
   it("apply a new configuration within two seconds", async () => {
@@ -176,7 +176,11 @@
   });
 
   it("lose no requests because of entries that cannot be decoded", async () => {
-    const bad = [{ address: "nowhere" }, { ...documents.entry("llm", "10.0.0.1"), born: null }, []];
+    const bad = [
+      { address: "nowhere" },
+      { ...documents.workerEntry("llm", "10.0.0.1"), born: null },
+      [],
+    ];
     for (const [n, entry] of bad.entries()) store.put(`servers/i-bad-${n}`, entry);
     // A configuration written after them is in force, so the entries have been read.
     store.put("op/config", configOf(3, "/d/"));
--- a/test/platform/server-limit.test.ts
+++ b/test/platform/server-limit.test.ts
@@ -70,7 +70,7 @@
 
   /** How many requests each of the two received, after the first `from` arrivals. */
   function arrived(from: number): readonly number[] {
-    const since = site.kept.arrivals.slice(from);
+    const since = site.journal.arrivals.slice(from);
     return two().map((p) => since.filter((a) => a.instance === p.worker.instance).length);
   }
 
@@ -88,23 +88,23 @@
   it("gets no more requests from all hosts than it allows, and its callers are served elsewhere", async () => {
     name(LIMIT_PER_S, two());
     const answers = await load("r", LOAD_MS);
-    expect(limits.beyond(site.kept.arrivals)).deep.equal([]);
+    expect(limits.limitViolations(site.journal.arrivals)).deep.equal([]);
     expect(answers.filter((s) => s === 200).length / answers.length).above(0.99);
     expect(faults).deep.equal([]);
   }).timeout(40_000);
 
   it("gets what it allows if all announce one, and fills again once it announces none", async () => {
     name(LIMIT_PER_S, site.places);
-    let from = site.kept.arrivals.length;
+    let from = site.journal.arrivals.length;
     const answers = await load("used", LOAD_MS);
     for (const n of arrived(from)) expect(n).above(MIN_USE * LIMIT_PER_S * (LOAD_MS / MS_PER_S));
     expect([...new Set(answers)].sort()).deep.equal([200, 503]);
     name(undefined, site.places);
     await load("withdrawn", RELEASE_MS);
-    from = site.kept.arrivals.length;
+    from = site.journal.arrivals.length;
     const free = await load("free", RELEASE_MS);
     expect(free.filter((s) => s === 200).length / free.length).above(0.99);
     expect(arrived(from)[1]).above(3 * LIMIT_PER_S * (RELEASE_MS / MS_PER_S));
-    expect(limits.beyond(site.kept.arrivals)).deep.equal([]);
+    expect(limits.limitViolations(site.journal.arrivals)).deep.equal([]);
   }).timeout(60_000);
 });
--- a/test/serving/managed-engines.ts
+++ b/test/serving/managed-engines.ts
@@ -71,7 +71,7 @@
     },
     notices,
   });
-  const port = await ports.free();
+  const port = await ports.findFree();
   const address = `127.0.0.1:${port}`;
   const suspicions = new suspicionRelay.SuspicionRelay({
     clock: clock.system,
--- a/test/serving/retry-simulation.ts
+++ b/test/serving/retry-simulation.ts
@@ -202,6 +202,6 @@
 
 /** Retries by which the worst window exceeds the budget; 0 or less if the budget is kept. */
 export function excess(trace: Trace, opts: retryBudget.Options): number {
-  const worst = rule.worst(trace.requestsAt, trace.retriesAt, opts);
+  const worst = rule.worstWindow(trace.requestsAt, trace.retriesAt, opts);
   return worst ? worst.retries - worst.allowed : -Infinity;
 }
