--- a/src/host/hedge.ts
+++ b/src/host/hedge.ts
@@ -11,7 +11,7 @@
 /** When and how often a call is hedged. */
 export interface Options {
   /** Milliseconds without an answer after which another call is started. */
-  readonly hedgeAfterMs: number;
+  readonly overdueMs: number;
   /** Most calls started, the first one included. */
   readonly maxCalls: number;
 }
@@ -55,7 +55,7 @@
           reject(err instanceof Error ? err : new Error(String(err)));
         },
       );
-      if (startedCalls < opts.maxCalls) timer = deps.clock.after(opts.hedgeAfterMs, startHedge);
+      if (startedCalls < opts.maxCalls) timer = deps.clock.after(opts.overdueMs, startHedge);
     };
     const startHedge = (): void => {
       deps.onOverdue();
--- a/src/serving/catalog.ts
+++ b/src/serving/catalog.ts
@@ -176,14 +176,14 @@
  * start of a worker leaves the catalog as it is.
  */
 export function applyUpdate(catalog: Catalog, update: Update): Catalog {
-  return applyUpdates(catalog, [update]).catalog;
+  return applyUpdates(catalog, [update]).updated;
 }
 
 /** Returns the catalog after some updates, and those updates that changed it. */
 export function applyUpdates(
   from: Catalog,
   updates: readonly Update[],
-): { readonly catalog: Catalog; readonly applied: readonly Update[] } {
+): { readonly updated: Catalog; readonly applied: readonly Update[] } {
   const versions = copyOnWrite(from.versions);
   const endpoints = copyOnWrite(from.endpoints);
   let { config, quarantined } = from;
@@ -218,9 +218,9 @@
         return true;
     }
   });
-  if (applied.length === 0) return { catalog: from, applied };
+  if (applied.length === 0) return { updated: from, applied };
   return {
-    catalog: {
+    updated: {
       ...from,
       config,
       versions: versions.read(),
--- a/src/serving/engine-manager.ts
+++ b/src/serving/engine-manager.ts
@@ -367,8 +367,8 @@
     this.instance = "";
     this.orders.reset();
     this.loadHistory = loadHistory.afterRestart(this.loadHistory);
-    const { newest, popularity, waiting } = this.state;
-    this.state = { ...residency.empty(), newest, popularity, waiting };
+    const { newest, adapterPopularity, waiting } = this.state;
+    this.state = { ...residency.empty(), newest, adapterPopularity, waiting };
     this.denyAll("out");
     this.announcer.announceSoonToAll();
   }
--- a/src/serving/feed.ts
+++ b/src/serving/feed.ts
@@ -16,7 +16,7 @@
   /** Milliseconds that one watch call waits at most for changes. */
   readonly watchMs: number;
   /** Milliseconds after which an unanswered call is hedged by a second one. Undefined to never hedge. */
-  readonly hedgeAfterMs: number | undefined;
+  readonly overdueMs: number | undefined;
   /** Minimum milliseconds from the start of one watch call to the next, so that one call returns many changes. */
   readonly minIntervalMs: number;
   /**
@@ -53,7 +53,7 @@
 export function promptPace(inForceMs: number): WatchPace {
   return {
     watchMs: Math.round(WATCH_FRACTION * inForceMs),
-    hedgeAfterMs: HEDGE_FRACTION * inForceMs,
+    overdueMs: HEDGE_FRACTION * inForceMs,
     minIntervalMs: INTERVAL_FRACTION * inForceMs,
     keepMissingMs: KEEP_MISSING_FRACTION * inForceMs,
   };
@@ -66,7 +66,7 @@
  */
 export const RELAXED_PACE: WatchPace = {
   watchMs: 25_000,
-  hedgeAfterMs: undefined,
+  overdueMs: undefined,
   minIntervalMs: 1500,
   keepMissingMs: 0,
 };
@@ -203,9 +203,9 @@
   /** Calls the store. An overdue call is hedged by another one on a new connection. */
   private callStore<T>(call: (signal?: AbortSignal) => Promise<T>): Promise<T> {
     this.callStartedAt = this.deps.clock.mono();
-    const { hedgeAfterMs: overdueMs } = this.deps.pace;
+    const { overdueMs } = this.deps.pace;
     if (overdueMs === undefined) return call();
-    const overdue = (): void => {
+    const onOverdue = (): void => {
       this.deps.source.replaceConnections();
       if (this.hedgeLogged) return;
       this.hedgeLogged = true;
@@ -215,11 +215,7 @@
       });
     };
     const { clock } = this.deps;
-    return hedge.firstAnswer(
-      call,
-      { hedgeAfterMs: overdueMs, maxCalls: MAX_CALLS },
-      { clock, onOverdue: overdue },
-    );
+    return hedge.firstAnswer(call, { overdueMs, maxCalls: MAX_CALLS }, { clock, onOverdue });
   }
 
   /** Whether entries may be missing only because they expired in an outage of the store. */
@@ -380,13 +376,13 @@
     for (const s of updates) {
       if (s.kind === "endpoint") this.keptMissing.delete(incarnation.workerOf(s.endpoint.id));
     }
-    const { catalog: next, applied } = catalog.applyUpdates(this.current, updates);
+    const { updated, applied } = catalog.applyUpdates(this.current, updates);
     // The first snapshot adds all endpoints and versions at once. They are not logged one by one, since the line for the
     // snapshot already has their number.
     const isFirstSnapshot = this.current.config === undefined;
     for (const s of applied) if (!isFirstSnapshot || s.kind === "config") this.logUpdate(s);
-    const changed = next !== this.current;
-    this.current = revision > next.revision ? { ...next, revision } : next;
+    const changed = updated !== this.current;
+    this.current = revision > updated.revision ? { ...updated, revision } : updated;
     if (changed) this.deps.onChange(this.current);
   }
 
--- a/src/serving/residency.ts
+++ b/src/serving/residency.ts
@@ -76,7 +76,7 @@
   /** Newest known version of each adapter by key; `at` is the monotonic ms at which it became known. */
   readonly newest: ReadonlyMap<string, { readonly version: number; readonly at: number }>;
   /** How often each adapter was asked for lately; decides which one is evicted. */
-  readonly popularity: popularity.Popularity;
+  readonly adapterPopularity: popularity.Popularity;
 }
 
 /** Half-life of an adapter's popularity in ms; demand shifts within some seconds. */
@@ -91,7 +91,7 @@
     slots: new Map(),
     waiting: [],
     newest: new Map(),
-    popularity: popularity.cold(HALF_LIFE_MS, TRACKED_ADAPTERS),
+    adapterPopularity: popularity.cold(HALF_LIFE_MS, TRACKED_ADAPTERS),
   };
 }
 
@@ -250,7 +250,7 @@
 /** The slot of the least popular adapter among `of`. */
 function leastPopular(s: State, of: readonly Slot[], now: number): Slot | undefined {
   const key = popularity.coldest(
-    s.popularity,
+    s.adapterPopularity,
     of.map((p) => p.key),
     now,
   );
@@ -290,8 +290,8 @@
 
 /** Adds a request that waits for a seat. */
 export function addWaiter(s: State, w: seatQueue.Waiter, now: number): State {
-  const heat = popularity.hit(s.popularity, w.key, 1, now);
-  return { ...s, waiting: [...s.waiting, w], popularity: heat };
+  const adapterPopularity = popularity.hit(s.adapterPopularity, w.key, 1, now);
+  return { ...s, waiting: [...s.waiting, w], adapterPopularity };
 }
 
 /** Removes the waiter of a seat that was granted, denied or given up. */
--- a/src/serving/suspicion.ts
+++ b/src/serving/suspicion.ts
@@ -182,16 +182,16 @@
 /** The records without those that have expired; the same object if none has. */
 export function expire(records: CrashRecords, now: number): CrashRecords {
   const isExpired = (at: number): boolean => now - at >= EXPIRY_MS;
-  const ends = new Map<string, ReadonlyMap<string, RecordedCrash>>();
+  const crashes = new Map<string, ReadonlyMap<string, RecordedCrash>>();
   let dropped = 0;
-  for (const [identity, crashes] of records.crashes) {
-    const remaining = [...crashes].filter(([, e]) => !isExpired(e.at));
-    dropped += crashes.size - remaining.length;
-    if (remaining.length > 0) ends.set(identity, new Map(remaining));
+  for (const [identity, byWorker] of records.crashes) {
+    const remaining = [...byWorker].filter(([, e]) => !isExpired(e.at));
+    dropped += byWorker.size - remaining.length;
+    if (remaining.length > 0) crashes.set(identity, new Map(remaining));
   }
   const voided = new Map([...records.voided].filter(([, at]) => !isExpired(at)));
   if (dropped === 0 && voided.size === records.voided.size) return records;
-  return { crashes: ends, voided };
+  return { crashes, voided };
 }
 
 /**
--- a/test/hedge.test.ts
+++ b/test/hedge.test.ts
@@ -26,7 +26,7 @@
           },
         });
       }),
-    { hedgeAfterMs: 100, maxCalls },
+    { overdueMs: 100, maxCalls },
     { clock: clk, onOverdue: () => overdue++ },
   );
   return { clk, calls, first, overdue: () => overdue };
--- a/test/serving/incarnation.test.ts
+++ b/test/serving/incarnation.test.ts
@@ -64,13 +64,13 @@
   });
 
   it("uses a new incarnation of a leaving worker once its entry says that it is ready", () => {
-    const left = catalog.applyUpdates(catalog.EMPTY, [entry(1), entry(1, true)]).catalog;
+    const left = catalog.applyUpdates(catalog.EMPTY, [entry(1), entry(1, true)]).updated;
     const old = left.endpoints.get("w");
-    const { catalog: at } = catalog.applyUpdates(left, [entry(2)]);
-    const next = at.endpoints.get("w");
-    expect(old && catalog.isUsable(at, old)).equal(false);
-    expect(next && catalog.isUsable(at, next)).equal(true);
-    expect(catalog.applyUpdate(at, entry(1, true))).equal(at);
+    const { updated } = catalog.applyUpdates(left, [entry(2)]);
+    const next = updated.endpoints.get("w");
+    expect(old && catalog.isUsable(updated, old)).equal(false);
+    expect(next && catalog.isUsable(updated, next)).equal(true);
+    expect(catalog.applyUpdate(updated, entry(1, true))).equal(updated);
   });
 
   it("does not use an incarnation whose entry was removed", () => {
--- a/test/serving/leaving.test.ts
+++ b/test/serving/leaving.test.ts
@@ -34,7 +34,7 @@
 function open(list: readonly catalog.Endpoint[]) {
   const config: catalog.Update = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
-  let at = catalog.applyUpdates(catalog.EMPTY, [config, ...entries]).catalog;
+  let at = catalog.applyUpdates(catalog.EMPTY, [config, ...entries]).updated;
   const made = dispatcherFixture.create(() => at);
   cleanups.push(made.close);
   let count = 0;
--- a/test/serving/limited.test.ts
+++ b/test/serving/limited.test.ts
@@ -34,7 +34,7 @@
   const config: catalog.Update = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
   const made = dispatcherFixture.create(
-    catalog.applyUpdates(catalog.EMPTY, [config, ...entries]).catalog,
+    catalog.applyUpdates(catalog.EMPTY, [config, ...entries]).updated,
   );
   cleanups.push(made.close);
   return made;
--- a/test/serving/paused.test.ts
+++ b/test/serving/paused.test.ts
@@ -38,7 +38,7 @@
 function open(list: readonly catalog.Endpoint[], clk: clock.Clock = clock.system) {
   const config: catalog.Update = { kind: "config", config: fixtures.CONFIG };
   const entries = list.map((endpoint) => ({ kind: "endpoint", endpoint }) as const);
-  const at = catalog.applyUpdates(catalog.EMPTY, [config, ...entries]).catalog;
+  const at = catalog.applyUpdates(catalog.EMPTY, [config, ...entries]).updated;
   const made = dispatcherFixture.create(at, undefined, clk);
   cleanups.push(made.close);
   return made;
--- a/test/serving/withheld.test.ts
+++ b/test/serving/withheld.test.ts
@@ -42,7 +42,7 @@
       config: { ...fixtures.CONFIG, services: new Map([[SERVICE.name, SERVICE]]) },
     },
     { kind: "endpoint", endpoint: first.endpoint },
-  ]).catalog;
+  ]).updated;
   let verdict: authentication.Verdict = { kind: "open" };
   const setup = dispatcherFixture.create(
     () => current,
