--- a/src/serving/send-checks.ts
+++ b/src/serving/send-checks.ts
@@ -104,11 +104,11 @@
     return p.isRetryCharged;
   }
 
-  /** Whether a request is quarantined because workers end under it, as found by all hosts together. */
+  /** Whether a request is quarantined because workers crash while running it, as found by all hosts together. */
   isQuarantined(req: callerRequest.CallerRequest, p: progress.Progress): boolean {
     const verdict = this.deps.suspects.evaluate(req);
     if (verdict.kind !== "quarantined") return false;
-    p.why = `workers end under the request ${identity.of(req)}`;
+    p.why = `workers crash while running the request ${identity.of(req)}`;
     p.releaseMs = verdict.releaseMs;
     return true;
   }
