--- a/src/endpoint/attempt-register.ts
+++ b/src/endpoint/attempt-register.ts
@@ -20,7 +20,7 @@
  */
 const TTL_MS = 4 * keys.SIGNATURE_WINDOW_MS;
 
-/** The attempts of one run of the daemon process. */
+/** The attempts that one daemon process has received. */
 export class AttemptRegister {
   private readonly stages: lru.LRUCache<string, Stage>;
 
--- a/src/host/daemon.ts
+++ b/src/host/daemon.ts
@@ -107,7 +107,7 @@
 const EPOCH_BYTES = 6;
 const MICROS_PER_MS = 1000;
 
-/** A random identifier for one run of a daemon. */
+/** A random identifier of a daemon process, new at every start. */
 export function newEpoch(): string {
   return crypto.randomBytes(EPOCH_BYTES).toString("hex");
 }
--- a/src/link/wire.ts
+++ b/src/link/wire.ts
@@ -66,7 +66,7 @@
 export const endpointReport = zod
   .object({
     endpoint: zod.string(),
-    /** Identifies one run of the daemon; changes with every start. */
+    /** Identifies the daemon process; changes with every start. */
     epoch: zod.string(),
     /** Increases with every report of one epoch, so that a report that arrives late can be recognized. */
     seq: zod.int(),
